--- a/routing/admission/src/FirstTries.ts
+++ b/routing/admission/src/FirstTries.ts
@@ -1,42 +1,42 @@
 import type { Clock } from '@pulleystack/core.clock'
 
-/** A time is usual for as long as it has been seen in this window or the one before, in milliseconds; requests of a route come many times in it. */
+/** A timeout counts as usual while it occurs in this window or the one before; each route gets many requests in it. */
 const WINDOW_MS = 10_000
-/** Less than this share of the usual time is missing from a first try by chance; clients write whole milliseconds and differ in nothing else. */
-const CHANCE_SHARE = 0.03
+/** Smaller deviations from the usual timeout are rounding by clients, not retries. */
+const TOLERANCE_SHARE = 0.03
 
-interface Seen {
+interface RouteTimeouts {
   windowStartedAt: number
-  longestMs: number
-  longestBeforeMs: number
+  longestTimeoutMs: number
+  previousLongestMs: number
 }
 
 /**
- * How long ago clients tried first. A client counts its time down over its tries, so that what is missing from the time that clients of the route
- * usually give has passed since its first one. Credit counts from there, whoever refused the request before.
+ * Estimates how long ago clients first tried a request. A client reduces its timeout by the time spent on earlier attempts, so the difference to the
+ * route's usual timeout is the time since the first attempt, whichever instance rejected it.
  */
 export class FirstTries {
-  private readonly routes = new Map<string, Seen>()
+  private readonly routes = new Map<string, RouteTimeouts>()
 
   constructor (private readonly clock: Clock) {}
 
-  /** Notes the time that a client gives one request; gives the milliseconds since its first try, 0 for a first one. */
-  noteTry (route: string, waitMs: number): number {
-    const seen = this.turn(route)
-    seen.longestMs = Math.max(seen.longestMs, waitMs)
-    const usualMs = Math.max(seen.longestMs, seen.longestBeforeMs)
-    return waitMs < usualMs * (1 - CHANCE_SHARE) ? usualMs - waitMs : 0
+  /** Records the timeout of a request; returns the milliseconds since its first attempt, 0 for a first attempt. */
+  noteTry (route: string, timeoutMs: number): number {
+    const timeouts = this.updateWindow(route)
+    timeouts.longestTimeoutMs = Math.max(timeouts.longestTimeoutMs, timeoutMs)
+    const usualMs = Math.max(timeouts.longestTimeoutMs, timeouts.previousLongestMs)
+    return timeoutMs < usualMs * (1 - TOLERANCE_SHARE) ? usualMs - timeoutMs : 0
   }
 
-  private turn (route: string): Seen {
+  private updateWindow (route: string): RouteTimeouts {
     const now = this.clock.readTime()
-    const seen = this.routes.get(route) ?? { windowStartedAt: now, longestMs: 0, longestBeforeMs: 0 }
-    if (now - seen.windowStartedAt >= WINDOW_MS) {
-      seen.longestBeforeMs = seen.longestMs
-      seen.longestMs = 0
-      seen.windowStartedAt = now
+    const timeouts = this.routes.get(route) ?? { windowStartedAt: now, longestTimeoutMs: 0, previousLongestMs: 0 }
+    if (now - timeouts.windowStartedAt >= WINDOW_MS) {
+      timeouts.previousLongestMs = timeouts.longestTimeoutMs
+      timeouts.longestTimeoutMs = 0
+      timeouts.windowStartedAt = now
     }
-    this.routes.set(route, seen)
-    return seen
+    this.routes.set(route, timeouts)
+    return timeouts
   }
 }
--- a/routing/admission/src/RecentMean.ts
+++ b/routing/admission/src/RecentMean.ts
@@ -1,36 +1,36 @@
-/** Share by which one sample moves a mean: about the last twenty count, which a busy model brings together in a second. */
-const WEIGHT = 0.1
-/** How many mean deviations above the mean nearly all samples stay; retransmission timers of TCP (RFC 6298) use four, where a false alarm costs more. */
-const HIGH_DEVIATIONS = 2
+/** Weight of a new sample in the moving averages. */
+const SMOOTHING = 0.1
+/** Mean deviations above the mean that cover nearly all samples; TCP's retransmission timer uses four (RFC 6298). */
+const UPPER_BOUND_DEVIATIONS = 2
 
 interface Moments {
   mean: number
-  /** Mean distance from the mean. */
+  /** Mean absolute deviation. */
   deviation: number
 }
 
-/** Means of the newest samples, by name. */
+/** Exponential moving averages by name. */
 export class RecentMean {
   private readonly moments = new Map<string, Moments>()
 
   add (name: string, sample: number): void {
-    const before = this.moments.get(name)
-    if (!before) {
+    const prior = this.moments.get(name)
+    if (!prior) {
       this.moments.set(name, { mean: sample, deviation: 0 })
       return
     }
-    const distance = sample - before.mean
-    this.moments.set(name, { mean: before.mean + distance * WEIGHT, deviation: before.deviation + (Math.abs(distance) - before.deviation) * WEIGHT })
+    const distance = sample - prior.mean
+    this.moments.set(name, { mean: prior.mean + distance * SMOOTHING, deviation: prior.deviation + (Math.abs(distance) - prior.deviation) * SMOOTHING })
   }
 
-  /** Undefined before the first sample. */
+  /** Returns undefined before the first sample. */
   read (name: string): number | undefined {
     return this.moments.get(name)?.mean
   }
 
-  /** What nearly all samples stay below; undefined before the first one. */
+  /** Returns a bound that nearly all samples stay below; undefined before the first sample. */
   readHigh (name: string): number | undefined {
     const moments = this.moments.get(name)
-    return moments && moments.mean + HIGH_DEVIATIONS * moments.deviation
+    return moments && moments.mean + UPPER_BOUND_DEVIATIONS * moments.deviation
   }
 }
--- a/routing/admission/src/compareUrgency.ts
+++ b/routing/admission/src/compareUrgency.ts
@@ -1,25 +1,24 @@
-/** A request that waits for a place, as admission sees it; monotone times in milliseconds. */
+/** A request waiting for a slot. Times are monotonic, in milliseconds. */
 export interface Candidate {
   /** 0 is the most urgent class. */
   priority: number
-  /** A place by then still makes its answer timely, counted from the client's first try. */
+  /** Latest time to get a slot and still meet the latency target, counted from the client's first attempt. */
   dueAt: number
-  /** A place after this serves nobody: the client has left or the deadline has passed before the answer is whole. */
+  /** Latest time at which a slot is of use: after it the client disconnects or the deadline passes before the response is complete. */
   latestAt: number
 }
 
-/** Whether a place that comes now still makes the answer timely. */
+/** Whether a slot acquired now would still meet the latency target. */
 export function isInTime (candidate: Candidate, now: number): boolean {
   return now <= candidate.dueAt
 }
 
 /**
- * Negative when `a` is to have the next place. The pattern is overload that lasts for seconds: with the earliest due first throughout, all are
- * served just too late. So the most urgent class comes first, in it whoever can still be in time, the earliest due first, and those who are late in any
- * case take what is left over, the one that leaves first before others.
+ * Negative if `a` gets the next slot before `b`. Within a class, requests that can meet their latency target come first, in order of their due time,
+ * since serving strictly by due time would make all of them late under overload. Overdue requests follow, the earliest to expire first.
  */
 export function compareUrgency (a: Candidate, b: Candidate, now: number): number {
-  const isLater = Number(!isInTime(a, now)) - Number(!isInTime(b, now))
-  if (a.priority !== b.priority || isLater !== 0) return a.priority - b.priority || isLater
+  const overdueOrder = Number(!isInTime(a, now)) - Number(!isInTime(b, now))
+  if (a.priority !== b.priority || overdueOrder !== 0) return a.priority - b.priority || overdueOrder
   return isInTime(a, now) ? a.dueAt - b.dueAt : a.latestAt - b.latestAt
 }
--- a/routing/admission/src/estimateWaits.ts
+++ b/routing/admission/src/estimateWaits.ts
@@ -1,54 +1,54 @@
-/** What is known of the queue for one kind of place. */
+/** State of the queue for one kind of slot. */
 export interface QueueFacts {
-  /** Milliseconds for which a place is held. */
+  /** Milliseconds for which a request occupies a slot. */
   heldMs: number
-  /** Requests that run at the servers in question, of all instances. */
+  /** Running requests of all instances at the servers concerned. */
   running: number
-  /** Milliseconds until each of those that this instance runs will likely end, the soonest first; a sample of all. */
+  /** Expected milliseconds until each running request of this instance ends, in ascending order; a sample of all instances. */
   ownLeftMs: readonly number[]
-  /** Places come at a steady rate, and not by chance. */
+  /** Whether slots become free at a steady rate rather than at random. */
   isSteady?: boolean
-  /** Requests that arrive for these places in a second at this instance. */
+  /** Requests per second that arrive for these slots at this instance. */
   arrivalsPerSecond: number
-  /** Requests that wait here before the one asked about, and all that wait here and can be in time. */
+  /** Requests waiting at this instance: those ahead of this request, and all that may meet their latency target. */
   ahead: number
   waiting: number
-  /** Requests that wait for the same places at other instances and can be in time. */
+  /** Requests waiting for the same slots at other instances that may meet their latency target. */
   waitingElsewhere: number
 }
 
-/** When a place will likely come, in milliseconds from now. */
+/** Expected milliseconds until a slot is available. */
 export interface WaitEstimate {
-  /** For one that can be in time. */
+  /** For a request that can meet its latency target. */
   inTimeMs: number
-  /** For one that takes what those in time leave over; infinite while they leave nothing. */
+  /** For an overdue request, which gets slots that the others leave unused; infinite if there are none. */
   lateMs: number
 }
 
 /**
- * Places come free as the requests that have them end, which those of this instance show for all; after them by Little's law. This instance gets the share
- * for which it waits. One that is late in any case is overtaken by all that arrive meanwhile.
+ * Slots become free as running requests end, at the times that this instance's own requests show, and after that by Little's law. This instance gets
+ * slots in proportion to its waiting requests. An overdue request is overtaken by every later arrival.
  */
 export function estimateWaits (facts: QueueFacts): WaitEstimate {
   const { heldMs, running, arrivalsPerSecond, ahead, waiting, waitingElsewhere } = facts
-  const own = Math.max(1, waiting)
-  const share = own / (own + waitingElsewhere)
-  const needed = (ahead + 1) / share
+  const ownWaiting = Math.max(1, waiting)
+  const share = ownWaiting / (ownWaiting + waitingElsewhere)
+  const neededSlots = (ahead + 1) / share
   const endsPerSecond = running * 1_000 / heldMs
-  const leftOver = endsPerSecond - arrivalsPerSecond / share
+  const sparePerSecond = endsPerSecond - arrivalsPerSecond / share
   return {
-    // Of places that come free by chance, so many are free later than the mean by a standard deviation, which is the root of their number.
-    inTimeMs: estimateFreeMs(facts, needed + (facts.isSteady ? 0 : Math.sqrt(needed))),
-    lateMs: leftOver > 0 ? estimateFreeMs(facts, needed) * endsPerSecond / leftOver : Infinity,
+    // Slots that become free at random vary in number by its square root, so one standard deviation more is needed.
+    inTimeMs: estimateSlotsFreeMs(facts, neededSlots + (facts.isSteady ? 0 : Math.sqrt(neededSlots))),
+    lateMs: sparePerSecond > 0 ? estimateSlotsFreeMs(facts, neededSlots) * endsPerSecond / sparePerSecond : Infinity,
   }
 }
 
-/** Milliseconds until so many places, over all instances, have come free. */
-function estimateFreeMs ({ heldMs, running, ownLeftMs }: QueueFacts, needed: number): number {
+/** Expected milliseconds until this many slots of all instances have become free. */
+function estimateSlotsFreeMs ({ heldMs, running, ownLeftMs }: QueueFacts, neededSlots: number): number {
   if (running === 0) return Infinity
-  const rounds = needed / running
+  const rounds = neededSlots / running
   if (ownLeftMs.length === 0) return rounds * heldMs
-  const whole = Math.floor(rounds)
-  const at = Math.floor((rounds - whole) * ownLeftMs.length)
-  return whole * heldMs + (ownLeftMs[at] as number)
+  const wholeRounds = Math.floor(rounds)
+  const index = Math.floor((rounds - wholeRounds) * ownLeftMs.length)
+  return wholeRounds * heldMs + (ownLeftMs[index] as number)
 }
--- a/routing/admission/src/judgeWait.ts
+++ b/routing/admission/src/judgeWait.ts
@@ -1,17 +1,17 @@
 import { isInTime, type Candidate } from './compareUrgency.js'
 import type { WaitEstimate } from './estimateWaits.js'
 
-/** Whether a request goes on waiting; one that does not hears when a place would likely have come. */
-export type WaitVerdict =
+/** Whether a request keeps waiting; if not, after how many milliseconds a slot is expected. */
+export type WaitDecision =
   | { mayWait: true }
   | { mayWait: false, expectedMs: number }
 
 /**
- * A request waits as long as it will likely be served, in time or late. As soon as it is known that it can't be, it is refused: a wait in vain
- * costs its client more the longer it lasts.
+ * A request waits while it will likely be served, within its latency target or overdue. It is rejected as soon as that is ruled out, since a longer wait
+ * only costs the client more.
  */
-export function judgeWait (candidate: Candidate, estimate: WaitEstimate, now: number): WaitVerdict {
-  const isTimely = isInTime(candidate, now) && now + estimate.inTimeMs <= candidate.dueAt
-  if (isTimely || now + estimate.lateMs <= candidate.latestAt) return { mayWait: true }
+export function judgeWait (candidate: Candidate, estimate: WaitEstimate, now: number): WaitDecision {
+  const meetsTarget = isInTime(candidate, now) && now + estimate.inTimeMs <= candidate.dueAt
+  if (meetsTarget || now + estimate.lateMs <= candidate.latestAt) return { mayWait: true }
   return { mayWait: false, expectedMs: estimate.lateMs }
 }
--- a/routing/admission/test/admission.test.ts
+++ b/routing/admission/test/admission.test.ts
@@ -3,7 +3,7 @@
 import { ManualClock } from '@pulleystack/core.clock'
 import { FirstTries, RecentMean, RecentRate, compareUrgency, estimateWaits, judgeWait, type Candidate, type QueueFacts } from '../src/index.js'
 
-/** Ten places come free in a second. */
+/** Ten slots become free per second. */
 const CALM: QueueFacts = { heldMs: 1_000, running: 10, ownLeftMs: [], arrivalsPerSecond: 2, ahead: 0, waiting: 1, waitingElsewhere: 0 }
 
 function createCandidate (changes: Partial<Candidate> = {}): Candidate {
@@ -14,8 +14,8 @@
   return Object.entries(candidates).sort(([, a], [, b]) => compareUrgency(a, b, now)).map(([name]) => name)
 }
 
-describe('the order of those who wait', () => {
-  it('is by class, then the earliest due of those who can be in time, then those who are late in any case', () => {
+describe('order of waiting requests', () => {
+  it('is by class, then requests that can meet their latency target by due time, then overdue ones', () => {
     const candidates = {
       late: createCandidate({ dueAt: 900 }),
       soon: createCandidate({ dueAt: 1_100 }),
@@ -25,61 +25,61 @@
     assert.deepEqual(nameInOrder(candidates, 1_000), ['soon', 'then', 'late', 'lesser'])
   })
 
-  it('lets the one who leaves first come first among those who are late', () => {
+  it('puts the overdue request that expires first before other overdue ones', () => {
     assert.deepEqual(nameInOrder({ patient: createCandidate({ dueAt: 0, latestAt: 9_000 }), leaving: createCandidate({ dueAt: 500 }) }, 1_000), ['leaving', 'patient'])
   })
 })
 
-describe('how long a place is waited for', () => {
-  it('grows with those ahead and with those who wait elsewhere', () => {
+describe('expected wait for a slot', () => {
+  it('grows with the requests ahead and with those waiting at other instances', () => {
     assert.equal(estimateWaits(CALM).lateMs, 125)
     assert.equal(estimateWaits({ ...CALM, ahead: 4, waiting: 5 }).lateMs, 625)
     assert.equal(estimateWaits({ ...CALM, arrivalsPerSecond: 0, waiting: 2, waitingElsewhere: 6 }).lateMs, 400)
   })
 
-  it('allows for places that come free by chance where the wait is to be in time', () => {
+  it('allows for random slot releases if the latency target must be met', () => {
     assert.equal(estimateWaits(CALM).inTimeMs, 200)
     assert.equal(estimateWaits({ ...CALM, ahead: 8, waiting: 9 }).inTimeMs, 1_200)
   })
 
-  it('is as long as the requests of this instance show, when all began at one moment', () => {
-    const justBegun = { ...CALM, arrivalsPerSecond: 0, ownLeftMs: [900, 900, 900, 950, 1_000] }
-    assert.equal(estimateWaits(justBegun).lateMs, 900)
-    assert.equal(estimateWaits({ ...justBegun, ahead: 8, waiting: 9 }).lateMs, 1_000)
-    assert.equal(estimateWaits({ ...justBegun, ahead: 10, waiting: 11 }).lateMs, 1_900)
+  it('follows the remaining times of own requests if all began at once', () => {
+    const allJustBegun = { ...CALM, arrivalsPerSecond: 0, ownLeftMs: [900, 900, 900, 950, 1_000] }
+    assert.equal(estimateWaits(allJustBegun).lateMs, 900)
+    assert.equal(estimateWaits({ ...allJustBegun, ahead: 8, waiting: 9 }).lateMs, 1_000)
+    assert.equal(estimateWaits({ ...allJustBegun, ahead: 10, waiting: 11 }).lateMs, 1_900)
   })
 
-  it('has no end for the late while all places go to those who come meanwhile', () => {
+  it('is infinite for overdue requests while new arrivals take all slots', () => {
     assert.equal(estimateWaits({ ...CALM, arrivalsPerSecond: 10 }).lateMs, Infinity)
     assert.equal(estimateWaits({ ...CALM, arrivalsPerSecond: 5 }).lateMs, 200)
     assert.equal(estimateWaits({ ...CALM, running: 0 }).inTimeMs, Infinity)
   })
 })
 
-describe('a request that finds no place', () => {
-  it('waits when it will be served in time, whatever the load behind it', () => {
+describe('a request that finds no free slot', () => {
+  it('waits if it will meet its latency target, regardless of the load behind it', () => {
     assert.deepEqual(judgeWait(createCandidate(), { inTimeMs: 700, lateMs: Infinity }, 0), { mayWait: true })
   })
 
-  it('waits when it will be served late, but before its client leaves', () => {
+  it('waits if it will be served overdue, but before its client disconnects', () => {
     assert.deepEqual(judgeWait(createCandidate(), { inTimeMs: 1_200, lateMs: 1_900 }, 0), { mayWait: true })
     assert.deepEqual(judgeWait(createCandidate(), { inTimeMs: 100, lateMs: 900 }, 1_000), { mayWait: true })
   })
 
-  it('is refused as soon as it is known that it will not be served', () => {
+  it('is rejected as soon as it is known that it will not be served', () => {
     assert.deepEqual(judgeWait(createCandidate(), { inTimeMs: 1_200, lateMs: 2_500 }, 0), { mayWait: false, expectedMs: 2_500 })
     assert.deepEqual(judgeWait(createCandidate(), { inTimeMs: 100, lateMs: 1_100 }, 1_000), { mayWait: false, expectedMs: 1_100 })
   })
 })
 
-describe('what was seen lately', () => {
+describe('recent values', () => {
   let clock: ManualClock
 
   beforeEach(() => {
     clock = new ManualClock()
   })
 
-  it('gives the rate of events that come evenly, and forgets them', async () => {
+  it('give the rate of evenly spaced events, and decay', async () => {
     const rates = new RecentRate(clock)
     for (let at = 0; at < 100; at++) {
       rates.add('m')
@@ -91,7 +91,7 @@
     assert.equal(rates.read('other'), 0)
   })
 
-  it('moves a mean to the newest samples', () => {
+  it('move a mean towards the newest samples', () => {
     const means = new RecentMean()
     assert.equal(means.read('m'), undefined)
     means.add('m', 100)
@@ -100,7 +100,7 @@
     assert.ok((means.read('m') ?? 0) > 390)
   })
 
-  it('knows the time since a client\'s first try by what is missing from the usual time', () => {
+  it('give the time since a client\'s first attempt from the reduction of its timeout', () => {
     const tries = new FirstTries(clock)
     assert.equal(tries.noteTry('r', 12_000), 0)
     assert.equal(tries.noteTry('r', 12_000), 0)
@@ -108,7 +108,7 @@
     assert.equal(tries.noteTry('other', 11_200), 0)
   })
 
-  it('takes no client for one that comes back when all give less time than they did', async () => {
+  it('do not mistake requests for retries when all clients use a shorter timeout', async () => {
     const tries = new FirstTries(clock)
     tries.noteTry('r', 12_000)
     for (let second = 0; second < 25; second++) {
