--- a/routing/fleet/src/Backend.ts
+++ b/routing/fleet/src/Backend.ts
@@ -1,130 +1,130 @@
 import { FailureRate, OutlierDetector } from '@pulleystack/routing.retries'
 import { hasWeights, type BackendEntry } from './BackendEntry.js'
 import { NO_LOAD, sumTallies, type LoadTally } from './LoadTally.js'
-import { PrefixMemory } from './PrefixMemory.js'
-import { ReadingShare } from './ReadingShare.js'
+import { PrefixTracker } from './PrefixTracker.js'
+import { PrefillShare } from './PrefillShare.js'
 import { StatedFacts } from './StatedFacts.js'
 
 const DEFAULT_CACHE_TOKENS = 200_000
-const FIRST_DOWN_MS = 400
-const MAX_DOWN_MS = 3_000
-/** What others say of a server counts for nothing while this instance itself has just reached it. */
-const OWN_WORD_MS = 2_000
+const INITIAL_CONNECT_BACKOFF_MS = 400
+const MAX_CONNECT_BACKOFF_MS = 3_000
+/** Reports by peers that a server is unreachable are ignored for this time after this instance reached it. */
+const RECENT_CONTACT_MS = 2_000
 
-/** One backend server as this instance sees it. */
+/** A backend server as seen by this instance. */
 export class Backend {
-  /** What this instance has in hand there. */
+  /** Load from requests of this instance. */
   readonly own: LoadTally = { ...NO_LOAD }
-  /** What other instances said they have in hand there, by instance, and its sum, which is read for every request. */
-  private readonly others = new Map<string, LoadTally>()
-  private othersSum = NO_LOAD
+  /** Load reported by other instances, by instance. The sum is cached because it is read for every request. */
+  private readonly peerLoads = new Map<string, LoadTally>()
+  private peerLoadSum = NO_LOAD
   readonly outlier = new OutlierDetector()
-  /** As all instances together see it. */
+  /** Failure rate over the requests of all instances. */
   readonly failureRate = new FailureRate()
-  readonly readingShare = new ReadingShare()
-  readonly prefixes = new PrefixMemory(DEFAULT_CACHE_TOKENS)
-  /** Models that came or are to go, as the holder told before the entry does. */
-  private readonly modelChanges = new Map<string, boolean>()
-  /** Adapters that were loaded or dropped since the entry was written, by model. */
-  private readonly adapterChanges = new Map<string, Map<string, boolean>>()
+  readonly prefillShare = new PrefillShare()
+  readonly cachedPrefixes = new PrefixTracker(DEFAULT_CACHE_TOKENS)
+  /** Models that were loaded or are to be unloaded, by name, until the server's entry shows it. */
+  private readonly modelOverrides = new Map<string, boolean>()
+  /** Adapters that were loaded or unloaded, by model, until the server's entry shows it. */
+  private readonly adapterOverrides = new Map<string, Map<string, boolean>>()
 
   private connectFailures = 0
-  private downUntil = -Infinity
-  private reachedAt = -Infinity
+  private connectBackoffUntil = -Infinity
+  private lastReachedAt = -Infinity
 
-  private current: BackendEntry
+  private effectiveEntry: BackendEntry
 
   constructor (entry: BackendEntry, readonly stated = new StatedFacts({ id: entry.id, startedAt: entry.startedAt })) {
-    this.current = this.merge(entry)
+    this.effectiveEntry = this.mergeReported(entry)
   }
 
-  /** The server's entry, with what it said of itself since. */
+  /** The server's entry, updated with its self-reported status. */
   get entry (): BackendEntry {
-    return this.current
+    return this.effectiveEntry
   }
 
-  /** Whether it doesn't leave, and a connection would likely come up. */
+  /** Whether the server is reachable and not draining. */
   isStaying (now: number): boolean {
-    return !this.current.draining && this.isReachable(now)
+    return !this.effectiveEntry.draining && this.isReachable(now)
   }
 
-  /** Whether a connection would likely come up. */
+  /** Whether a connection attempt is likely to succeed. */
   isReachable (now: number): boolean {
-    return now >= this.downUntil
+    return now >= this.connectBackoffUntil
   }
 
-  /** No connection came up; the server is left out for a while, each time longer. */
+  /** Excludes the server after a failed connection attempt, with exponential backoff. */
   noteUnreachable (now: number): void {
-    if (now < this.downUntil) return
-    this.downUntil = now + Math.min(MAX_DOWN_MS, FIRST_DOWN_MS * 2 ** this.connectFailures)
+    if (now < this.connectBackoffUntil) return
+    this.connectBackoffUntil = now + Math.min(MAX_CONNECT_BACKOFF_MS, INITIAL_CONNECT_BACKOFF_MS * 2 ** this.connectFailures)
     this.connectFailures++
   }
 
-  /** Another instance could not connect. */
-  noteReportedDown (now: number): void {
-    if (now - this.reachedAt > OWN_WORD_MS) this.noteUnreachable(now)
+  /** Records that another instance failed to connect. */
+  recordUnreachableFromPeer (now: number): void {
+    if (now - this.lastReachedAt > RECENT_CONTACT_MS) this.noteUnreachable(now)
   }
 
-  /** The server answered. */
+  /** Records a response of the server. */
   noteReached (now: number): void {
     this.connectFailures = 0
-    this.downUntil = -Infinity
-    this.reachedAt = now
+    this.connectBackoffUntil = -Infinity
+    this.lastReachedAt = now
   }
 
   get id (): string {
     return this.entry.id
   }
 
-  /** What all instances together have in hand there. */
+  /** Load from the requests of all instances. */
   readLoad (): LoadTally {
-    return sumTallies([this.own, this.othersSum])
+    return sumTallies([this.own, this.peerLoadSum])
   }
 
-  /** Takes what another instance has in hand there; undefined for nothing. */
-  takeOther (instance: string, tally: LoadTally | undefined): void {
-    if (tally) this.others.set(instance, tally)
-    else if (!this.others.delete(instance)) return
-    this.othersSum = sumTallies(this.others.values())
+  /** Replaces the load that another instance reported; undefined for none. */
+  applyPeerLoad (instance: string, tally: LoadTally | undefined): void {
+    if (tally) this.peerLoads.set(instance, tally)
+    else if (!this.peerLoads.delete(instance)) return
+    this.peerLoadSum = sumTallies(this.peerLoads.values())
   }
 
-  /** Whether it has the model, and the adapter if one is named. */
+  /** Whether the server has the model and, if given, the adapter. */
   hasWeights (model: string, adapter?: string): boolean {
-    if (!(this.modelChanges.get(model) ?? hasWeights(this.entry, model))) return false
+    if (!(this.modelOverrides.get(model) ?? hasWeights(this.entry, model))) return false
     if (adapter === undefined) return true
-    return this.adapterChanges.get(model)?.get(adapter) ?? hasWeights(this.entry, model, adapter)
+    return this.adapterOverrides.get(model)?.get(adapter) ?? hasWeights(this.entry, model, adapter)
   }
 
-  /** Notes a model that is there, or that takes no new requests since it is to go, before the server's entry tells it. */
+  /** Overrides whether the model is available until the server's entry agrees; false once it takes no new requests before being unloaded. */
   noteModel (model: string, present: boolean): void {
-    this.modelChanges.set(model, present)
+    this.modelOverrides.set(model, present)
   }
 
-  /** From now on only the server's entry says whether it has the model. */
+  /** Discards the override, so that only the server's entry decides. */
   forgetModelChange (model: string): void {
-    this.modelChanges.delete(model)
+    this.modelOverrides.delete(model)
   }
 
-  /** Notes an adapter loaded or dropped before the server's entry tells it. */
+  /** Overrides whether the adapter is available until the server's entry shows it. */
   noteAdapter (model: string, adapter: string, present: boolean): void {
-    const changes = this.adapterChanges.get(model) ?? new Map<string, boolean>()
-    changes.set(adapter, present)
-    this.adapterChanges.set(model, changes)
+    const overrides = this.adapterOverrides.get(model) ?? new Map<string, boolean>()
+    overrides.set(adapter, present)
+    this.adapterOverrides.set(model, overrides)
   }
 
-  /** Takes a newer entry. A model that went has taken its adapters along. */
+  /** Applies a newer entry. The adapters of an unloaded model are gone too. */
   update (entry: BackendEntry): void {
-    for (const [model, present] of this.modelChanges) {
-      if (hasWeights(entry, model) === present) this.modelChanges.delete(model)
+    for (const [model, present] of this.modelOverrides) {
+      if (hasWeights(entry, model) === present) this.modelOverrides.delete(model)
     }
-    for (const model of this.adapterChanges.keys()) {
-      if (!hasWeights(entry, model)) this.adapterChanges.delete(model)
+    for (const model of this.adapterOverrides.keys()) {
+      if (!hasWeights(entry, model)) this.adapterOverrides.delete(model)
     }
-    this.current = this.merge(entry)
+    this.effectiveEntry = this.mergeReported(entry)
   }
 
-  // An entry may have been written before the server said it, or go on saying otherwise until the store has taken its word.
-  private merge (entry: BackendEntry): BackendEntry {
-    return this.stated.isLeaving && !entry.draining ? { ...entry, draining: true } : entry
+  // An entry may lag behind the server's own announcement that it is draining.
+  private mergeReported (entry: BackendEntry): BackendEntry {
+    return this.stated.isDraining && !entry.draining ? { ...entry, draining: true } : entry
   }
 }
--- a/routing/fleet/src/BackendDirectory.ts
+++ b/routing/fleet/src/BackendDirectory.ts
@@ -3,161 +3,158 @@
 import type { BackendEntry } from './BackendEntry.js'
 import type { BackendFleet } from './BackendFleet.js'
 
-/** Servers whose entries ran out while the store was away have written themselves again by then. */
-const LAPSE_MS = 2_500
-/** Entries of servers that had ended before the store came back from an older copy have run out again by then: three heartbeats. */
-const REVIVED_MS = 5_000
-/** More servers than end within the few seconds that an older copy lacks. */
-const MAX_GONE = 10_000
-
-/** Servers of which an older copy of the store says less than was known. */
-export interface RevivedServers {
-  /** Versions up to this one may be of the older copy. */
+/** Time in which servers whose entries expired during a store outage publish them again. */
+const REPUBLISH_GRACE_MS = 2_500
+/** Time after which restored entries of stopped servers have expired again. */
+const STALE_ENTRY_EXPIRY_MS = 5_000
+/** Bounds memory; far more than the servers that stop within the seconds that a snapshot lacks. */
+const MAX_REMOVED_SERVERS = 10_000
+
+/** Servers whose entries in the restored snapshot are out of date. */
+export interface StaleServers {
+  /** Entries up to this version may come from the snapshot. */
   version: number
-  /** Each server, and whether it had said that it leaves; the others had gone. */
-  servers: [id: string, isLeaving: boolean][]
+  /** Servers with whether they had announced that they drain; the others had been removed. */
+  servers: [id: string, isDraining: boolean][]
 }
 
 export interface BackendDirectoryOptions {
   clock: Clock
   fleet: BackendFleet
-  /** Milliseconds since the store came back; 0 while it is away. */
+  /** Milliseconds since the store became available again; 0 during an outage. */
   readSettledMs: () => number
 }
 
 /**
- * Takes what the store says of backend servers into the fleet. An entry that is missing soon after the store was away may only
- * have run out: its server stays until it has had time to write itself again. One that said that it leaves goes at once.
- *
- * A store that came back from an older copy shows entries that their servers have replaced or taken out since. Until a server writes its entry again, such a
- * one adds servers that nothing was known of, and takes nothing back: not the word of a server that leaves, and not its end.
+ * Applies the store's entries of backend servers to the fleet. An entry that is missing shortly after a store outage may only have expired, so its
+ * server stays until it has had time to publish it again; a draining server is removed at once. After the store was restored from an older snapshot, its
+ * entries may add unknown servers, but don't undo a removal or a drain until the server publishes a new entry.
  */
 export class BackendDirectory {
-  /** How to call off the removal of servers that are missing. */
-  private readonly missing = new Map<string, () => void>()
-  /** Versions up to this one may be of the older copy. */
+  /** Functions that cancel the delayed removal of a missing server, by server. */
+  private readonly pendingRemovals = new Map<string, () => void>()
+  /** Entries up to this version may come from the restored snapshot. */
   private restoredVersion = -Infinity
-  /** Entries of the older copy that may say less than is known, by server. */
-  private readonly doubtful = new Map<string, BackendEntry>()
-  private cancelRevival: (() => void) | undefined
+  /** Entries of the snapshot that may be out of date, by server. */
+  private readonly unconfirmedEntries = new Map<string, BackendEntry>()
+  private cancelRestoreTimer: (() => void) | undefined
   /** Version of the newest entry of each server in the fleet. */
-  private readonly versions = new Map<string, number>()
-  /** Servers that have gone, and whether they had said that they leave. */
-  private readonly gone = new LRUCache<string, boolean>({ max: MAX_GONE })
+  private readonly entryVersions = new Map<string, number>()
+  /** Removed servers, and whether they were draining. */
+  private readonly removedServers = new LRUCache<string, boolean>({ max: MAX_REMOVED_SERVERS })
 
   constructor (private readonly opts: BackendDirectoryOptions) {}
 
-  /** The store came back from an older copy, which what it shows up to this version may stem from. */
+  /** Handles a restore of the store from an older snapshot, whose entries have versions up to the given one. */
   noteRestored (version: number): void {
-    this.doubtful.clear()
-    this.cancelRevival?.()
-    this.cancelRevival = undefined
-    this.beginDoubt(version)
+    this.unconfirmedEntries.clear()
+    this.cancelRestoreTimer?.()
+    this.cancelRestoreTimer = undefined
+    this.startRestoreTimer(version)
   }
 
-  /** What instances that start meanwhile have to be told; undefined when the store shows nothing that was known better. */
-  describeRevived (): RevivedServers | undefined {
-    const revived = [...this.doubtful.keys()].filter((id) => this.gone.has(id) || this.isLeaving(id))
-    if (revived.length === 0) return undefined
-    return { version: this.restoredVersion, servers: revived.map((id) => [id, this.isLeaving(id)]) }
+  /** Returns what instances that start after a restore have to be told; undefined if no entry of the snapshot is known to be out of date. */
+  describeStaleServers (): StaleServers | undefined {
+    const stale = [...this.unconfirmedEntries.keys()].filter((id) => this.removedServers.has(id) || this.isDraining(id))
+    if (stale.length === 0) return undefined
+    return { version: this.restoredVersion, servers: stale.map((id) => [id, this.isDraining(id)]) }
   }
 
-  /** Takes what a peer knows better than the older copy; a server's own later word stands. */
-  takeRevived ({ version, servers }: RevivedServers): void {
-    this.beginDoubt(version)
-    for (const [id, isLeaving] of servers) {
-      if ((this.versions.get(id) ?? 0) > version) continue
+  /** Applies what a peer knows of out-of-date entries, except for servers that have published a newer entry since. */
+  applyStaleServers ({ version, servers }: StaleServers): void {
+    this.startRestoreTimer(version)
+    for (const [id, isDraining] of servers) {
+      if ((this.entryVersions.get(id) ?? 0) > version) continue
       const entry = this.opts.fleet.find(id)?.entry
       this.removeNow(id)
-      this.gone.set(id, isLeaving)
-      if (entry) this.doubtful.set(id, entry)
+      this.removedServers.set(id, isDraining)
+      if (entry) this.unconfirmedEntries.set(id, entry)
     }
   }
 
-  /** Takes one new or changed entry. */
+  /** Applies a new or changed entry. */
   put (entry: BackendEntry, version = Infinity): void {
-    this.keep(entry.id)
-    this.doubtful.delete(entry.id)
-    if (version > this.restoredVersion) this.take(entry, version)
-    else if (this.cancelRevival !== undefined && this.isDoubtful(entry)) this.doubtful.set(entry.id, entry)
-    else this.take(this.keepLeaving(entry), version)
+    this.cancelRemoval(entry.id)
+    this.unconfirmedEntries.delete(entry.id)
+    if (version > this.restoredVersion) this.apply(entry, version)
+    else if (this.cancelRestoreTimer !== undefined && this.mayBeStale(entry)) this.unconfirmedEntries.set(entry.id, entry)
+    else this.apply(this.keepDraining(entry), version)
   }
 
-  /** The store has an entry of this name that can't be read: it names no server to use. */
+  /** Removes a server whose entry can't be read. */
   drop (id: string): void {
-    this.keep(id)
-    this.doubtful.delete(id)
+    this.cancelRemoval(id)
+    this.unconfirmedEntries.delete(id)
     this.removeNow(id)
   }
 
-  /** The store has the entries of these servers and no others. */
+  /** Removes all servers that the store doesn't list. */
   keepOnly (listed: ReadonlySet<string>): void {
     for (const { id } of this.opts.fleet.listAll()) {
       if (!listed.has(id)) this.remove(id)
     }
   }
 
-  /** The store has no entry of this server any more. */
+  /** Handles the removal of a server's entry from the store. */
   remove (id: string): void {
-    this.doubtful.delete(id)
-    if (this.missing.has(id)) return
+    this.unconfirmedEntries.delete(id)
+    if (this.pendingRemovals.has(id)) return
     const { clock, fleet, readSettledMs } = this.opts
-    const waitMs = LAPSE_MS - readSettledMs()
-    if (waitMs <= 0 || fleet.find(id)?.entry.draining) {
+    const graceMs = REPUBLISH_GRACE_MS - readSettledMs()
+    if (graceMs <= 0 || fleet.find(id)?.entry.draining) {
       this.removeNow(id)
       return
     }
-    this.missing.set(id, clock.setTimer(waitMs, () => {
-      this.missing.delete(id)
+    this.pendingRemovals.set(id, clock.setTimer(graceMs, () => {
+      this.pendingRemovals.delete(id)
       this.removeNow(id)
     }))
   }
 
-  /** Calls off the removal of a server that is missing. */
-  private keep (id: string): void {
-    this.missing.get(id)?.()
-    this.missing.delete(id)
+  private cancelRemoval (id: string): void {
+    this.pendingRemovals.get(id)?.()
+    this.pendingRemovals.delete(id)
   }
 
-  private take (entry: BackendEntry, version: number): void {
-    this.gone.delete(entry.id)
-    this.versions.set(entry.id, version)
+  private apply (entry: BackendEntry, version: number): void {
+    this.removedServers.delete(entry.id)
+    this.entryVersions.set(entry.id, version)
     this.opts.fleet.put(entry)
   }
 
   private removeNow (id: string): void {
     const known = this.opts.fleet.find(id)
-    if (known) this.gone.set(id, known.entry.draining)
-    this.versions.delete(id)
+    if (known) this.removedServers.set(id, known.entry.draining)
+    this.entryVersions.delete(id)
     this.opts.fleet.remove(id)
   }
 
-  /** Entries up to a version may be of an older copy, for as long as servers take to write theirs again. */
-  private beginDoubt (version: number): void {
+  /** Treats entries up to a version as possibly out of date until servers have had time to publish theirs again. */
+  private startRestoreTimer (version: number): void {
     this.restoredVersion = Math.max(this.restoredVersion, version)
-    this.cancelRevival ??= this.opts.clock.setTimer(REVIVED_MS, () => {
-      this.cancelRevival = undefined
-      this.takeDoubtful()
+    this.cancelRestoreTimer ??= this.opts.clock.setTimer(STALE_ENTRY_EXPIRY_MS, () => {
+      this.cancelRestoreTimer = undefined
+      this.applyUnconfirmed()
     })
   }
 
-  /** Whether more may be known of a server than this entry says. */
-  private isDoubtful (entry: BackendEntry): boolean {
+  /** Whether the entry may undo a removal or a drain. */
+  private mayBeStale (entry: BackendEntry): boolean {
     const isKnown = this.opts.fleet.find(entry.id) !== undefined
-    return this.gone.has(entry.id) || (isKnown && !entry.draining)
+    return this.removedServers.has(entry.id) || (isKnown && !entry.draining)
   }
 
-  /** A server that has said that it leaves does so, whatever an older entry says. */
-  private keepLeaving (entry: BackendEntry): BackendEntry {
-    return { ...entry, draining: entry.draining || this.isLeaving(entry.id) }
+  /** A drain that was announced isn't undone by an older entry. */
+  private keepDraining (entry: BackendEntry): BackendEntry {
+    return { ...entry, draining: entry.draining || this.isDraining(entry.id) }
   }
 
-  private isLeaving (id: string): boolean {
-    return this.opts.fleet.find(id)?.entry.draining ?? this.gone.get(id) ?? false
+  private isDraining (id: string): boolean {
+    return this.opts.fleet.find(id)?.entry.draining ?? this.removedServers.get(id) ?? false
   }
 
-  private takeDoubtful (): void {
-    for (const entry of this.doubtful.values()) this.take(this.keepLeaving(entry), this.restoredVersion)
-    this.doubtful.clear()
+  private applyUnconfirmed (): void {
+    for (const entry of this.unconfirmedEntries.values()) this.apply(this.keepDraining(entry), this.restoredVersion)
+    this.unconfirmedEntries.clear()
   }
 }
--- a/routing/fleet/src/BackendEntry.ts
+++ b/routing/fleet/src/BackendEntry.ts
@@ -4,41 +4,41 @@
   adapters: readonly string[]
 }
 
-/** What a backend server says of itself. */
+/** A backend server as described by its own entry in the store. */
 export interface BackendEntry {
-  /** One server; a restart has another id, or the same one with another `startedAt`. */
+  /** A restarted server has another id, or the same id with another `startedAt`. */
   id: string
-  /** Unix time of its start in milliseconds; undefined where servers don't tell it. */
+  /** Unix time of the start in milliseconds; undefined if the server doesn't report it. */
   startedAt?: number
   service: string
-  /** host:port; may be given to another server after this one has ended. */
+  /** host:port; may be reused by another server after this one has stopped. */
   address: string
   dataHall: string
-  /** Requests that it works on at a time. */
+  /** Number of requests that it processes at a time. */
   slots: number
-  /** It leaves and takes no new requests. */
+  /** Whether the server is shutting down and takes no new requests. */
   draining: boolean
   /** Models in accelerator memory; undefined for servers without models. */
   models: readonly ResidentModel[] | undefined
-  /** Models of which copies lie in host memory or on disk. */
+  /** Models with a copy in host memory or on disk. */
   inMemory: readonly string[]
   onDisk: readonly string[]
 }
 
-/** One life of a server, from a start to its end. */
+/** Identifies an incarnation of a server: one run of its process. */
 export type ServerLife = Pick<BackendEntry, 'id' | 'startedAt'>
 
 export function nameLife ({ id, startedAt }: ServerLife): string {
   return startedAt === undefined ? id : `${id}@${startedAt}`
 }
 
-/** The name of a model or, with an adapter, of the pair. */
+/** Returns the name of a model, or of a model with an adapter. */
 export function nameWeights (model: string, adapter: string | undefined): string {
   return adapter === undefined ? model : `${model}/${adapter}`
 }
 
-/** Whether a server has a model, and the adapter if one is named. */
+/** Whether a server has a model and, if given, the adapter. */
 export function hasWeights (entry: BackendEntry, model: string, adapter?: string): boolean {
-  const held = entry.models?.find((it) => it.name === model)
-  return held !== undefined && (adapter === undefined || held.adapters.includes(adapter))
+  const resident = entry.models?.find((it) => it.name === model)
+  return resident !== undefined && (adapter === undefined || resident.adapters.includes(adapter))
 }
--- a/routing/fleet/src/BackendFleet.ts
+++ b/routing/fleet/src/BackendFleet.ts
@@ -2,116 +2,115 @@
 import { Backend } from './Backend.js'
 import { nameLife, type BackendEntry, type ServerLife } from './BackendEntry.js'
 import type { LoadTally } from './LoadTally.js'
-import type { LimitStatement } from './NamedLimit.js'
-import type { PromptPart } from './PrefixMemory.js'
-import type { PauseSample } from './ReadingShare.js'
-import { StatementMemory, type StatedFacts } from './StatedFacts.js'
-import { WaitingTallies } from './WaitingTallies.js'
+import type { LimitReport } from './AdvertisedLimit.js'
+import type { PromptPart } from './PrefixTracker.js'
+import type { PauseSample } from './PrefillShare.js'
+import { ReportedStatusCache, type StatedFacts } from './StatedFacts.js'
+import { WaitingCounts } from './WaitingCounts.js'
 
-/** What changed in the fleet. */
 export interface FleetChange {
   kind: 'added' | 'updated' | 'removed'
   backend: Backend
 }
 
-/** Another limit of a server is in force than before. */
+/** A change of the limit in force at a server. */
 export interface LimitChange {
   life: ServerLife
-  /** The server said so to this instance, and not to another one. */
-  isOwn: boolean
-  /** More may be sent there than before. */
-  isLoosened: boolean
+  /** Whether the server reported it to this instance rather than to a peer. */
+  isLocal: boolean
+  /** Whether more requests may be sent than before. */
+  isRaised: boolean
 }
 
-/** What a life of a server said last of its limit. */
-export interface ServerLimit {
+/** The newest limit reported by an incarnation of a server. */
+export interface IncarnationLimit {
   life: ServerLife
-  statement: LimitStatement
+  statement: LimitReport
 }
 
-/** The shared beginning of a prompt that one server has read. */
+/** The part of a processed prompt that other requests may share. */
 export interface SharedPrefix {
   backend: string
   weights: string
   parts: readonly PromptPart[]
 }
 
-const MAX_UNTOLD = 64
+const MAX_PENDING_PREFIXES = 64
 
-/** All backend servers, as the directory of servers and the other instances tell. */
+/** All backend servers known from the directory and from other instances. */
 export class BackendFleet {
-  readonly waiting = new WaitingTallies()
-  /** Monotone time at which a peer last told of a limit that stands. */
+  readonly waiting = new WaitingCounts()
+  /** Monotonic time in milliseconds at which a peer last reported a limit in force. */
   limitsToldAt = -Infinity
   private readonly backends = new Map<string, Backend>()
   private readonly byService = new Map<string, Backend[]>()
-  private readonly subject = new Subject<FleetChange>()
-  private readonly untold: SharedPrefix[] = []
-  private readonly untoldPauses = new Map<string, PauseSample>()
-  private readonly untoldOutcomes = new Map<string, { failures: number, total: number }>()
-  /** Servers where other instances last had something in hand. */
-  private readonly loadedByPeers = new Map<string, string[]>()
+  private readonly changeSubject = new Subject<FleetChange>()
+  private readonly pendingPrefixes: SharedPrefix[] = []
+  private readonly pendingPauses = new Map<string, PauseSample>()
+  private readonly pendingOutcomes = new Map<string, { failures: number, total: number }>()
+  /** Servers for which an instance last reported load, by instance. */
+  private readonly serversLoadedByPeer = new Map<string, string[]>()
   private readonly loadSubject = new Subject<void>()
-  private readonly statements = new StatementMemory()
-  private readonly departureSubject = new Subject<ServerLife>()
+  private readonly reportedStatuses = new ReportedStatusCache()
+  private readonly drainingSubject = new Subject<ServerLife>()
   private readonly limitSubject = new Subject<LimitChange>()
-  /** Servers that name a limit, by id. */
-  private readonly limited = new Map<string, Backend>()
+  /** Servers that advertise a limit, by id. */
+  private readonly limitedBackends = new Map<string, Backend>()
 
   get changes (): Observable<FleetChange> {
-    return this.subject
+    return this.changeSubject
   }
 
-  /** Tells that this instance has more or less in hand somewhere. */
+  /** Emits when the load of this instance changed at any server. */
   get loadChanges (): Observable<void> {
     return this.loadSubject
   }
 
-  /** Notes that a server reads these parts of a prompt, and remembers what is new in it for the other instances. */
+  /** Records that a server processes these parts of a prompt, and queues new shared prefixes for the other instances. */
   notePrefix (backend: Backend, weights: string, parts: readonly PromptPart[]): void {
-    // The last part belongs to one request or session, so that nobody else has a use for it.
+    // The last part belongs to a single request or session and isn't shared.
     const shared = parts.slice(0, -1)
     const sharedTokens = shared.reduce((sum, part) => sum + part.tokens, 0)
-    const isNew = shared.length > 0 && backend.prefixes.countKept(weights, shared) < sharedTokens
-    backend.prefixes.note(weights, parts)
-    if (isNew && this.untold.length < MAX_UNTOLD) this.untold.push({ backend: backend.id, weights, parts: shared })
+    const isNew = shared.length > 0 && backend.cachedPrefixes.countCachedTokens(weights, shared) < sharedTokens
+    backend.cachedPrefixes.record(weights, parts)
+    if (isNew && this.pendingPrefixes.length < MAX_PENDING_PREFIXES) this.pendingPrefixes.push({ backend: backend.id, weights, parts: shared })
   }
 
-  /** Counts an answer of a server, or its lack, and remembers it for the other instances. */
+  /** Records whether a request to a server failed, and queues it for the other instances. */
   noteOutcome (backend: Backend, failed: boolean, now: number): void {
     const failures = failed ? 1 : 0
     backend.failureRate.add(failures, 1, now)
-    const untold = this.untoldOutcomes.get(backend.id) ?? { failures: 0, total: 0 }
-    this.untoldOutcomes.set(backend.id, { failures: untold.failures + failures, total: untold.total + 1 })
+    const pending = this.pendingOutcomes.get(backend.id) ?? { failures: 0, total: 0 }
+    this.pendingOutcomes.set(backend.id, { failures: pending.failures + failures, total: pending.total + 1 })
   }
 
-  /** Learns from the longest pause of a stream that ran at a server, as a share of what its route allows, and remembers it for the other instances. */
+  /** Records the longest pause of a stream as a share of the route's allowed maximum, and queues it for the other instances. */
   notePause (backend: Backend, share: number, now: number): void {
-    backend.readingShare.learn({ worst: share, streams: 1 }, now)
-    const untold = this.untoldPauses.get(backend.id) ?? { worst: 0, streams: 0 }
-    this.untoldPauses.set(backend.id, { worst: Math.max(untold.worst, share), streams: untold.streams + 1 })
+    backend.prefillShare.addSample({ maxShare: share, streams: 1 }, now)
+    const pending = this.pendingPauses.get(backend.id) ?? { maxShare: 0, streams: 0 }
+    this.pendingPauses.set(backend.id, { maxShare: Math.max(pending.maxShare, share), streams: pending.streams + 1 })
   }
 
-  /** Pauses that the other instances have not been told yet. */
-  takeUntoldPauses (): [backend: string, worst: number, streams: number][] {
-    const pauses = [...this.untoldPauses].map(([id, { worst, streams }]): [string, number, number] => [id, Math.round(worst * 100) / 100, streams])
-    this.untoldPauses.clear()
+  /** Removes and returns the pauses not yet sent to the other instances. */
+  takePendingPauses (): [backend: string, maxShare: number, streams: number][] {
+    const pauses = [...this.pendingPauses].map(([id, { maxShare, streams }]): [string, number, number] => [id, Math.round(maxShare * 100) / 100, streams])
+    this.pendingPauses.clear()
     return pauses
   }
 
-  /** Outcomes that the other instances have not been told yet. */
-  takeUntoldOutcomes (): [backend: string, failures: number, total: number][] {
-    const outcomes = [...this.untoldOutcomes].map(([id, { failures, total }]): [string, number, number] => [id, failures, total])
-    this.untoldOutcomes.clear()
+  /** Removes and returns the outcomes not yet sent to the other instances. */
+  takePendingOutcomes (): [backend: string, failures: number, total: number][] {
+    const outcomes = [...this.pendingOutcomes].map(([id, { failures, total }]): [string, number, number] => [id, failures, total])
+    this.pendingOutcomes.clear()
     return outcomes
   }
 
-  /** Prefixes that the other instances have not been told yet. */
-  takeUntold (): SharedPrefix[] {
-    return this.untold.splice(0)
+  /** Removes and returns the prefixes not yet sent to the other instances. */
+  takePendingPrefixes (): SharedPrefix[] {
+    return this.pendingPrefixes.splice(0)
   }
 
-  /** To be called whenever a server's own tally changed. */
+  /** Must be called after each change of a server's own load. */
   noteLoadChange (): void {
     this.loadSubject.next()
   }
@@ -120,7 +119,7 @@
     return this.backends.get(id)
   }
 
-  /** Servers of a service, also those that leave. */
+  /** Servers of a service, including draining ones. */
   list (service: string): readonly Backend[] {
     return this.byService.get(service) ?? []
   }
@@ -129,130 +128,130 @@
     return [...this.backends.values()]
   }
 
-  /** Takes the whole directory; servers that it leaves out are gone. */
+  /** Replaces all entries; servers without an entry are removed. */
   replaceAll (entries: readonly BackendEntry[]): void {
-    const present = new Set(entries.map((entry) => entry.id))
+    const listed = new Set(entries.map((entry) => entry.id))
     for (const id of [...this.backends.keys()]) {
-      if (!present.has(id)) this.remove(id)
+      if (!listed.has(id)) this.remove(id)
     }
     for (const entry of entries) this.put(entry)
   }
 
-  /** Takes one new or changed entry. */
+  /** Applies a new or changed entry. */
   put (entry: BackendEntry): void {
-    const present = this.backends.get(entry.id)
-    if (present && hasRestarted(present.entry, entry)) {
-      // Nothing that is known of the former life holds: neither what is in hand there, nor what it has read, holds or was ordered.
+    const existing = this.backends.get(entry.id)
+    if (existing && hasRestarted(existing.entry, entry)) {
+      // State of the former incarnation, such as load, cached prefixes and overrides, doesn't apply to the new one.
       this.remove(entry.id)
-    } else if (present) {
-      present.update(entry)
-      this.subject.next({ kind: 'updated', backend: present })
+    } else if (existing) {
+      existing.update(entry)
+      this.changeSubject.next({ kind: 'updated', backend: existing })
       return
     }
-    const backend = new Backend(entry, this.statements.find(entry))
+    const backend = new Backend(entry, this.reportedStatuses.find(entry))
     this.backends.set(entry.id, backend)
-    this.noteLimited(backend)
+    this.updateLimited(backend)
     this.rebuildService(entry.service)
-    this.subject.next({ kind: 'added', backend })
+    this.changeSubject.next({ kind: 'added', backend })
   }
 
-  /** Tells of servers that said to this instance that they leave. */
-  get departures (): Observable<ServerLife> {
-    return this.departureSubject
+  /** Emits servers that announced to this instance that they drain. */
+  get drainingServers (): Observable<ServerLife> {
+    return this.drainingSubject
   }
 
-  /** Lives that said that they leave, to whichever instance, the newest first. */
-  listDepartures (limit: number): ServerLife[] {
-    return this.statements.listLeaving(limit)
+  /** Draining incarnations, whichever instance they reported it to, newest first. */
+  listDraining (limit: number): ServerLife[] {
+    return this.reportedStatuses.listDraining(limit)
   }
 
-  /** The server said to this instance that it leaves; gives whether that was news. */
-  noteLeaving ({ stated }: Backend): boolean {
-    if (!this.takeDeparture(stated.life)) return false
-    this.departureSubject.next(stated.life)
+  /** Records that the server announced to this instance that it drains; returns whether this is new. */
+  recordDraining ({ stated }: Backend): boolean {
+    if (!this.applyDrainingFromPeer(stated.life)) return false
+    this.drainingSubject.next(stated.life)
     return true
   }
 
-  /** A life of a server is known to leave, whether its entry is known or not; gives whether that was news. */
-  takeDeparture (life: ServerLife): boolean {
-    const facts = this.findStated(life)
-    if (facts.isLeaving) return false
-    facts.isLeaving = true
-    this.statements.put(facts)
-    const present = this.backends.get(life.id)
-    if (present?.stated === facts) this.put(present.entry)
+  /** Records that an incarnation drains, whether or not its entry is known; returns whether this is new. */
+  applyDrainingFromPeer (incarnation: ServerLife): boolean {
+    const status = this.findStatus(incarnation)
+    if (status.isDraining) return false
+    status.isDraining = true
+    this.reportedStatuses.put(status)
+    const existing = this.backends.get(incarnation.id)
+    if (existing?.stated === status) this.put(existing.entry)
     return true
   }
 
-  /** The server wants no requests from this instance for so long; gives whether that was news. */
+  /** Records that the server asked this instance to back off for the given milliseconds; returns whether this extends the backoff. */
   noteRetryAfter ({ stated }: Backend, ms: number, now: number): boolean {
     if (!stated.backoff.extend(ms, now)) return false
-    this.statements.put(stated)
+    this.reportedStatuses.put(stated)
     return true
   }
 
-  /** Tells of servers that named another limit than was known, to whichever instance. */
+  /** Emits changes of server limits, whichever instance received the report. */
   get limitChanges (): Observable<LimitChange> {
     return this.limitSubject
   }
 
-  /** Servers that name a limit. */
-  listLimited (): ServerLimit[] {
-    return [...this.limited.values()].map(({ stated: { life, limit } }) => ({ life, statement: limit.statement }))
+  /** Limits currently advertised by servers. */
+  listLimited (): IncarnationLimit[] {
+    return [...this.limitedBackends.values()].map(({ stated: { life, limit } }) => ({ life, statement: limit.statement }))
   }
 
-  /** What a life of a server said last of its limit. */
-  findLimit (life: ServerLife): LimitStatement {
-    return this.findStated(life).limit.statement
+  /** The newest limit reported by an incarnation. */
+  findLimit (incarnation: ServerLife): LimitReport {
+    return this.findStatus(incarnation).limit.statement
   }
 
-  /** The server said to this instance what limit it has, or that it has none; gives whether that was news. */
-  noteLimit ({ stated }: Backend, statement: LimitStatement): boolean {
-    return this.changeLimit(stated, statement, true)
+  /** Records a limit, or its absence, that the server reported to this instance; returns whether the limit in force changed. */
+  noteLimit ({ stated }: Backend, report: LimitReport): boolean {
+    return this.updateLimit(stated, report, true)
   }
 
-  /** A life of a server told another instance what limit it has, whether its entry is known or not; gives whether that was news. */
-  takeLimit (life: ServerLife, statement: LimitStatement): boolean {
-    return this.changeLimit(this.findStated(life), statement, false)
+  /** Applies a limit that an incarnation reported to another instance, whether or not its entry is known; returns whether the limit in force changed. */
+  applyLimitFromPeer (incarnation: ServerLife, report: LimitReport): boolean {
+    return this.updateLimit(this.findStatus(incarnation), report, false)
   }
 
   remove (id: string): void {
     const backend = this.backends.get(id)
     if (!backend) return
     this.backends.delete(id)
-    this.limited.delete(id)
+    this.limitedBackends.delete(id)
     this.rebuildService(backend.entry.service)
-    this.subject.next({ kind: 'removed', backend })
+    this.changeSubject.next({ kind: 'removed', backend })
   }
 
-  /** Takes what another instance has in hand; servers that it doesn't name have nothing from it. */
+  /** Replaces the load reported by another instance; servers that aren't listed have none. */
   applyPeerLoads (instance: string, loads: ReadonlyMap<string, LoadTally>): void {
-    for (const id of this.loadedByPeers.get(instance) ?? []) {
-      if (!loads.has(id)) this.backends.get(id)?.takeOther(instance, undefined)
+    for (const id of this.serversLoadedByPeer.get(instance) ?? []) {
+      if (!loads.has(id)) this.backends.get(id)?.applyPeerLoad(instance, undefined)
     }
-    for (const [id, tally] of loads) this.backends.get(id)?.takeOther(instance, tally)
-    this.loadedByPeers.set(instance, [...loads.keys()])
+    for (const [id, tally] of loads) this.backends.get(id)?.applyPeerLoad(instance, tally)
+    this.serversLoadedByPeer.set(instance, [...loads.keys()])
   }
 
-  private changeLimit (stated: StatedFacts, statement: LimitStatement, isOwn: boolean): boolean {
-    const before = stated.limit.perSecond ?? Infinity
-    if (!stated.limit.take(statement)) return false
-    this.statements.put(stated)
-    const present = this.backends.get(stated.life.id)
-    if (present) this.noteLimited(present)
-    this.limitSubject.next({ life: stated.life, isOwn, isLoosened: (stated.limit.perSecond ?? Infinity) > before })
+  private updateLimit (status: StatedFacts, report: LimitReport, isLocal: boolean): boolean {
+    const previous = status.limit.perSecond ?? Infinity
+    if (!status.limit.update(report)) return false
+    this.reportedStatuses.put(status)
+    const existing = this.backends.get(status.life.id)
+    if (existing) this.updateLimited(existing)
+    this.limitSubject.next({ life: status.life, isLocal, isRaised: (status.limit.perSecond ?? Infinity) > previous })
     return true
   }
 
-  private noteLimited (backend: Backend): void {
-    if (backend.stated.limit.perSecond === undefined) this.limited.delete(backend.id)
-    else this.limited.set(backend.id, backend)
+  private updateLimited (backend: Backend): void {
+    if (backend.stated.limit.perSecond === undefined) this.limitedBackends.delete(backend.id)
+    else this.limitedBackends.set(backend.id, backend)
   }
 
-  /** What a life of a server said, whether its entry is known or not. */
-  private findStated (life: ServerLife): StatedFacts {
-    const present = this.backends.get(life.id)
-    return present !== undefined && nameLife(present.entry) === nameLife(life) ? present.stated : this.statements.find(life)
+  /** Self-reported status of an incarnation, whether or not its entry is known. */
+  private findStatus (incarnation: ServerLife): StatedFacts {
+    const existing = this.backends.get(incarnation.id)
+    return existing !== undefined && nameLife(existing.entry) === nameLife(incarnation) ? existing.stated : this.reportedStatuses.find(incarnation)
   }
 
   private rebuildService (service: string): void {
@@ -260,6 +259,6 @@
   }
 }
 
-function hasRestarted (before: BackendEntry, now: BackendEntry): boolean {
-  return before.startedAt !== undefined && now.startedAt !== undefined && before.startedAt !== now.startedAt
+function hasRestarted (previous: BackendEntry, next: BackendEntry): boolean {
+  return previous.startedAt !== undefined && next.startedAt !== undefined && previous.startedAt !== next.startedAt
 }
--- a/routing/fleet/src/LoadTally.ts
+++ b/routing/fleet/src/LoadTally.ts
@@ -1,19 +1,17 @@
-/** What one or more instances have in hand at one backend server. */
+/** Load of one or more instances on a backend server. */
 export interface LoadTally {
-  /** Requests sent and not ended. */
+  /** Requests in flight. */
   running: number
-  /** Prompt tokens that the server has still to read. */
+  /** Prompt tokens that the server has yet to process. */
   prefillTokens: number
-  /** Tokens that running requests may come to hold in the KV cache. */
+  /** KV cache tokens that running requests may use in total. */
   cacheTokens: number
-  /** Running requests under which a server has ended before. */
+  /** Running requests during which a server crashed before. */
   suspects: number
 }
 
-/** A tally of nothing. */
 export const NO_LOAD: LoadTally = Object.freeze({ running: 0, prefillTokens: 0, cacheTokens: 0, suspects: 0 })
 
-/** The sum of tallies. */
 export function sumTallies (tallies: Iterable<LoadTally>): LoadTally {
   const sum = { ...NO_LOAD }
   for (const tally of tallies) {
--- a/routing/fleet/src/ServerBackoff.ts
+++ b/routing/fleet/src/ServerBackoff.ts
@@ -1,39 +1,39 @@
-/** A longer rest counts as one of an hour: a server that means to be away for longer leaves. HTTP sets no bound; a first choice. */
-const MAX_MS = 3_600_000
-/** Requests that a server gets after a rest before it has answered one. */
-const FIRST_CREDITS = 1
-/** Each answer lets so many more follow, so that what it gets doubles with each round. */
-const CREDITS_PER_ANSWER = 2
-/** After so many answers in a row it gets requests as ever: four doublings. */
-const ANSWERS_UNTIL_WHOLE = 15
+/** Longest backoff; a server that is away for longer should drain. */
+const MAX_BACKOFF_MS = 3_600_000
+/** Requests allowed after a backoff before the first response. */
+const INITIAL_ALLOWANCE = 1
+/** Further requests allowed for each response, which doubles the number in each round. */
+const ALLOWANCE_PER_RESPONSE = 2
+/** Responses to requests of the ramp-up after which it ends: four doublings. */
+const RESPONSES_UNTIL_UNLIMITED = 15
 
-/** One request that was sent on a credit. */
+/** A request sent under the ramp-up allowance. */
 export interface CreditUse {
-  /** The server took it and answers it; gives whether more may follow by that. */
+  /** Records that the server responds; returns whether more requests may follow. */
   noteAnswered: () => boolean
-  /** It has ended; without an answer another one may be sent in its place. */
+  /** Ends the request; if there was no response, its allowance is returned. */
   end: () => void
 }
 
 /**
- * The rest that a server asked this instance for, and how it is taken up again: with one request, then with twice as many for each round that it answers.
- * All those that waited for it would else reach it at once. Times are monotone, in milliseconds.
+ * The backoff that a server requested from this instance, and the ramp-up after it: one request at first, then twice as many with each round of
+ * responses, so that waiting requests don't all reach the server at once. Times are monotonic, in milliseconds.
  */
 export class ServerBackoff {
   private until = -Infinity
-  private credits = Infinity
-  private answers = 0
-  /** Rests that were asked for. */
-  private rests = 0
+  private allowance = Infinity
+  private responseCount = 0
+  /** Number of backoffs requested so far. */
+  private backoffCount = 0
 
-  /** The server wants nothing for so long from now on; a rest that ends earlier than the one that runs changes nothing. Gives whether it was news. */
+  /** Backs off for the given time, unless the current backoff ends later; returns whether the backoff was extended. */
   extend (ms: number, now: number): boolean {
-    const until = now + Math.min(MAX_MS, ms)
+    const until = now + Math.min(MAX_BACKOFF_MS, ms)
     if (ms <= 0 || until <= this.until) return false
     this.until = until
-    this.credits = FIRST_CREDITS
-    this.answers = 0
-    this.rests++
+    this.allowance = INITIAL_ALLOWANCE
+    this.responseCount = 0
+    this.backoffCount++
     return true
   }
 
@@ -41,33 +41,33 @@
     return now < this.until
   }
 
-  /** 0 when it is over. */
+  /** Remaining backoff in milliseconds; 0 if there is none. */
   readLeftMs (now: number): number {
     return Math.max(0, this.until - now)
   }
 
-  /** Whether one more request may be sent, after the rest. */
-  hasCredit (): boolean {
-    return this.credits >= 1
+  /** Whether the ramp-up after a backoff allows one more request. */
+  hasAllowance (): boolean {
+    return this.allowance >= 1
   }
 
-  /** Uses up a credit for one request. */
+  /** Uses the allowance for one request. */
   take (): CreditUse {
-    const { rests } = this
+    const { backoffCount } = this
     let isSettled = false
-    this.credits--
-    const settle = (credits: number): boolean => {
-      // What was sent before the rest says nothing of the time after it.
-      if (isSettled || rests !== this.rests || this.credits === Infinity) return false
+    this.allowance--
+    const settle = (returned: number): boolean => {
+      // Requests sent before the backoff don't count for the ramp-up after it.
+      if (isSettled || backoffCount !== this.backoffCount || this.allowance === Infinity) return false
       isSettled = true
-      this.credits += credits
+      this.allowance += returned
       return true
     }
     return {
       noteAnswered: () => {
-        if (!settle(CREDITS_PER_ANSWER)) return false
-        this.answers++
-        if (this.answers >= ANSWERS_UNTIL_WHOLE) this.credits = Infinity
+        if (!settle(ALLOWANCE_PER_RESPONSE)) return false
+        this.responseCount++
+        if (this.responseCount >= RESPONSES_UNTIL_UNLIMITED) this.allowance = Infinity
         return true
       },
       end: () => void settle(1),
--- a/routing/fleet/src/StatedFacts.ts
+++ b/routing/fleet/src/StatedFacts.ts
@@ -1,41 +1,41 @@
 import { LRUCache } from 'lru-cache'
 import { nameLife, type ServerLife } from './BackendEntry.js'
-import { NamedLimit } from './NamedLimit.js'
-import { PermitStock } from './PermitStock.js'
+import { AdvertisedLimit } from './AdvertisedLimit.js'
+import { PermitPool } from './PermitPool.js'
 import { ServerBackoff } from './ServerBackoff.js'
 
-/** Lives of servers of which it is remembered what they said; one takes about 200 bytes. */
-const MAX_LIVES = 4_096
+/** Incarnations whose status is remembered, at about 200 bytes each. */
+const MAX_INCARNATIONS = 4_096
 
-/** What a server said of itself in one of its lives. It stands above the server's entry, which lags while the store is away. */
+/** Self-reported status of one incarnation of a server. It takes precedence over the server's entry, which lags during store outages. */
 export class StatedFacts {
-  /** It said so to this instance, or to another one that told. Nothing takes it back: a server that leaves ends, and its next life is another one. */
-  isLeaving = false
-  /** Rest that it asked this instance for; others are asked for themselves. */
+  /** Whether it announced that it drains, to any instance. Draining is final: a restarted server is another incarnation. */
+  isDraining = false
+  /** Backoff requested from this instance only. */
   readonly backoff = new ServerBackoff()
-  /** Requests that it takes from all instances together. */
-  readonly limit = new NamedLimit()
-  /** Rights to send there while it names a limit. */
-  readonly permits = new PermitStock()
+  /** Limit on the requests of all instances together. */
+  readonly limit = new AdvertisedLimit()
+  /** Permits for requests while a limit is advertised. */
+  readonly permits = new PermitPool()
 
   constructor (readonly life: ServerLife) {}
 }
 
-/** What servers said, by their lives, also while their entries are gone: an entry may run out and be written anew while the store is away. */
-export class StatementMemory {
-  private readonly byLife = new LRUCache<string, StatedFacts>({ max: MAX_LIVES })
+/** Status of servers by incarnation. It is kept while a server has no entry, since entries may expire and reappear during store outages. */
+export class ReportedStatusCache {
+  private readonly byIncarnation = new LRUCache<string, StatedFacts>({ max: MAX_INCARNATIONS })
 
-  /** What is known of a life; new where nothing is. */
-  find (life: ServerLife): StatedFacts {
-    return this.byLife.get(nameLife(life)) ?? new StatedFacts({ id: life.id, startedAt: life.startedAt })
+  /** Returns the known status of an incarnation, or an empty one. */
+  find (incarnation: ServerLife): StatedFacts {
+    return this.byIncarnation.get(nameLife(incarnation)) ?? new StatedFacts({ id: incarnation.id, startedAt: incarnation.startedAt })
   }
 
-  put (facts: StatedFacts): void {
-    this.byLife.set(nameLife(facts.life), facts)
+  put (status: StatedFacts): void {
+    this.byIncarnation.set(nameLife(status.life), status)
   }
 
-  /** Lives that said that they leave, the newest first. */
-  listLeaving (limit: number): ServerLife[] {
-    return [...this.byLife.values()].filter(({ isLeaving }) => isLeaving).slice(0, limit).map(({ life }) => life)
+  /** Draining incarnations, newest first. */
+  listDraining (limit: number): ServerLife[] {
+    return [...this.byIncarnation.values()].filter(({ isDraining }) => isDraining).slice(0, limit).map(({ life }) => life)
   }
 }
--- a/routing/fleet/src/shareDepartures.ts
+++ b/routing/fleet/src/shareDepartures.ts
@@ -2,33 +2,33 @@
 import type { ServerLife } from './BackendEntry.js'
 import type { BackendFleet } from './BackendFleet.js'
 
-/** Lives of servers that said that they leave. No later message makes up for a lost one, but the server says it again in each answer. */
-const DEPARTURES = defineChannel<ServerLife[]>('fleet.departures', { isOnce: true })
-/** Lives that are told over a new link, the newest first; about 40 bytes each, so that it takes 10 KB at the most. */
-const MAX_TOLD = 256
+/** Draining incarnations of servers. A lost message isn't repeated, but the server reports it again in each response. */
+const DRAINING_SERVERS = defineChannel<ServerLife[]>('fleet.departures', { isOnce: true })
+/** Most incarnations sent over a new link, newest first; about 40 bytes each. */
+const MAX_SENT_ON_LINK = 256
 
-/** Tells the other instances at once which servers said to this one that they leave, and takes what they tell. */
+/** Announces servers that report to this instance that they drain to the other instances at once, and applies the announcements of others. */
 export function shareDepartures ({ network, fleet }: { network: PeerNetwork, fleet: BackendFleet }, signal: AbortSignal): void {
   const subscriptions = [
-    fleet.departures.subscribe((life) => {
-      network.broadcast(DEPARTURES, [life])
+    fleet.drainingServers.subscribe((incarnation) => {
+      network.broadcast(DRAINING_SERVERS, [incarnation])
     }),
-    network.receive(DEPARTURES).subscribe(({ body }) => listLives(body).forEach((life) => fleet.takeDeparture(life))),
+    network.receive(DRAINING_SERVERS).subscribe(({ body }) => parseIncarnations(body).forEach((incarnation) => fleet.applyDrainingFromPeer(incarnation))),
     network.peerEvents.subscribe((event) => {
       if (event.kind !== 'heard' || !event.isNewLink) return
-      const lives = fleet.listDepartures(MAX_TOLD)
-      if (lives.length > 0) network.send(event.identity.instance, DEPARTURES, lives)
+      const draining = fleet.listDraining(MAX_SENT_ON_LINK)
+      if (draining.length > 0) network.send(event.identity.instance, DRAINING_SERVERS, draining)
     }),
   ]
   signal.addEventListener('abort', () => subscriptions.forEach((it) => it.unsubscribe()), { once: true })
 }
 
-/** What names lives of servers; a peer of another version may send what doesn't. */
-function listLives (body: unknown): ServerLife[] {
-  return Array.isArray(body) ? body.filter(isLife) : []
+/** Skips invalid items, which a peer of another version may send. */
+function parseIncarnations (body: unknown): ServerLife[] {
+  return Array.isArray(body) ? body.filter(isIncarnation) : []
 }
 
-function isLife (item: unknown): item is ServerLife {
+function isIncarnation (item: unknown): item is ServerLife {
   const { id, startedAt } = (item ?? {}) as Partial<Record<keyof ServerLife, unknown>>
   return typeof id === 'string' && (startedAt === undefined || typeof startedAt === 'number')
 }
--- a/routing/fleet/src/shareLimits.ts
+++ b/routing/fleet/src/shareLimits.ts
@@ -1,29 +1,29 @@
 import type { Clock } from '@pulleystack/core.clock'
 import { defineChannel, type PeerNetwork } from '@pulleystack/membership.peers'
 import type { ServerLife } from './BackendEntry.js'
-import type { BackendFleet, ServerLimit } from './BackendFleet.js'
+import type { BackendFleet, IncarnationLimit } from './BackendFleet.js'
 
-/** What a server said of its limit to the sender. */
-interface ToldLimit {
+/** A limit that a server reported to the sender. */
+interface LimitItem {
   life: ServerLife
   perSecond: number | undefined
-  /** Monotone time of the sender's after which it was said; undefined when that isn't known. */
+  /** Monotonic time of the sender in milliseconds after which it was reported; undefined if unknown. */
   saidAfter: number | undefined
-  /** Milliseconds, at the sending, since when it had surely been said. */
+  /** Minimum age of the report in milliseconds at the time of sending. */
   ageMs: number
 }
 
-const LIMITS = defineChannel<ToldLimit[]>('fleet.limits', { isOnce: true })
+const LIMITS = defineChannel<LimitItem[]>('fleet.limits', { isOnce: true })
 /**
- * A limit that is over, or higher, is told again after these times: an instance that heard the former one a moment later can't know by the first
- * message that it was said before.
+ * A raised or removed limit is announced again after these delays: an instance that received the former limit a moment later can't tell from the first
+ * announcement which of them is newer.
  */
-const REPEATS_MS = [500, 1_000, 2_000]
-/** Instances on standby are told so often of the limits that stand, as they hear of nothing else by which they would know that those are over. */
-const TELL_STANDBY_MS = 30_000
+const REPEAT_DELAYS_MS = [500, 1_000, 2_000]
+/** Standby instances receive no responses of servers, so they are sent the limits in force at this interval. */
+const STANDBY_INTERVAL_MS = 30_000
 
-/** A limit of which a peer told. */
-export interface LimitNews {
+/** A limit reported to a peer. */
+export interface PeerLimit {
   life: ServerLife
   from: string
   perSecond: number | undefined
@@ -33,56 +33,56 @@
   clock: Clock
   network: PeerNetwork
   fleet: BackendFleet
-  /** Linked instances that stand by: they are linked to few of those that serve, and pass nothing on. */
+  /** Linked standby instances, which are linked to few serving instances and forward nothing. */
   listStandby: () => readonly string[]
-  /** A peer told of another limit than was known. */
-  onNews: (told: LimitNews) => void
+  /** Called when a report from a peer changed a limit. */
+  onNews: (limit: PeerLimit) => void
 }
 
-/** Tells the other instances at once what limits servers name to this one, and takes what they tell. */
+/** Announces the limits that servers report to this instance to the other instances, and applies their announcements. */
 export function shareLimits (opts: ShareLimitsOptions, signal: AbortSignal): void {
   const { clock, network, fleet, listStandby } = opts
   const timers = new Set<() => void>()
-  const build = (named: ServerLimit): ToldLimit => buildTold(named, clock.readTime())
-  const buildOf = (life: ServerLife): ToldLimit => build({ life, statement: fleet.findLimit(life) })
-  const tell = (life: ServerLife): void => {
-    network.broadcast(LIMITS, [buildOf(life)])
+  const buildNow = (limit: IncarnationLimit): LimitItem => buildItem(limit, clock.readTime())
+  const buildCurrent = (incarnation: ServerLife): LimitItem => buildNow({ life: incarnation, statement: fleet.findLimit(incarnation) })
+  const announce = (incarnation: ServerLife): void => {
+    network.broadcast(LIMITS, [buildCurrent(incarnation)])
   }
-  const tellAllTo = (instances: readonly string[]): void => {
+  const sendAllTo = (instances: readonly string[]): void => {
     const limited = fleet.listLimited()
     if (limited.length === 0) return
-    for (const instance of instances) network.send(instance, LIMITS, limited.map(build))
+    for (const instance of instances) network.send(instance, LIMITS, limited.map(buildNow))
   }
-  const keepTellingStandby = async (): Promise<void> => {
+  const runStandbyUpdates = async (): Promise<void> => {
     while (!signal.aborted) {
-      await clock.wait(TELL_STANDBY_MS, signal)
-      tellAllTo(listStandby())
+      await clock.wait(STANDBY_INTERVAL_MS, signal)
+      sendAllTo(listStandby())
     }
   }
-  void keepTellingStandby()
-  const tellLater = (life: ServerLife, ms: number): void => {
+  void runStandbyUpdates()
+  const announceLater = (incarnation: ServerLife, ms: number): void => {
     const cancel = clock.setTimer(ms, () => {
       timers.delete(cancel)
-      tell(life)
+      announce(incarnation)
     })
     timers.add(cancel)
   }
   const subscriptions = [
-    fleet.limitChanges.subscribe(({ life, isOwn, isLoosened }) => {
-      if (!isOwn) {
-        for (const instance of listStandby()) network.send(instance, LIMITS, [buildOf(life)])
+    fleet.limitChanges.subscribe(({ life, isLocal, isRaised }) => {
+      if (!isLocal) {
+        for (const instance of listStandby()) network.send(instance, LIMITS, [buildCurrent(life)])
         return
       }
-      tell(life)
-      if (isLoosened) REPEATS_MS.forEach((ms) => tellLater(life, ms))
+      announce(life)
+      if (isRaised) REPEAT_DELAYS_MS.forEach((ms) => announceLater(life, ms))
     }),
     network.receive(LIMITS).subscribe(({ from, body }) => {
-      const limits = listTold(body)
+      const limits = parseItems(body)
       if (limits.some(({ perSecond }) => perSecond !== undefined)) fleet.limitsToldAt = clock.readTime()
-      for (const told of limits) takeTold(opts, from, told)
+      for (const limit of limits) applyLimit(opts, from, limit)
     }),
     network.peerEvents.subscribe((event) => {
-      if (event.kind === 'heard' && event.isNewLink) tellAllTo([event.identity.instance])
+      if (event.kind === 'heard' && event.isNewLink) sendAllTo([event.identity.instance])
     }),
   ]
   signal.addEventListener('abort', () => {
@@ -91,27 +91,27 @@
   }, { once: true })
 }
 
-function buildTold ({ life, statement: { perSecond, saidAfter, saidBefore } }: ServerLimit, now: number): ToldLimit {
+function buildItem ({ life, statement: { perSecond, saidAfter, saidBefore } }: IncarnationLimit, now: number): LimitItem {
   return { life, perSecond, saidAfter: Number.isFinite(saidAfter) ? saidAfter : undefined, ageMs: now - saidBefore }
 }
 
-function takeTold ({ clock, network, fleet, onNews }: ShareLimitsOptions, from: string, { life, perSecond, saidAfter, ageMs }: ToldLimit): void {
-  const ownSaidAfter = saidAfter === undefined ? undefined : network.convertTime(from, saidAfter)
-  const statement = { perSecond, saidAfter: ownSaidAfter ?? -Infinity, saidBefore: clock.readTime() - ageMs, heardBy: from }
-  if (fleet.takeLimit(life, statement)) onNews({ life, from, perSecond })
+function applyLimit ({ clock, network, fleet, onNews }: ShareLimitsOptions, from: string, { life: incarnation, perSecond, saidAfter, ageMs }: LimitItem): void {
+  const localSaidAfter = saidAfter === undefined ? undefined : network.convertTime(from, saidAfter)
+  const report = { perSecond, saidAfter: localSaidAfter ?? -Infinity, saidBefore: clock.readTime() - ageMs, heardBy: from }
+  if (fleet.applyLimitFromPeer(incarnation, report)) onNews({ life: incarnation, from, perSecond })
 }
 
-/** What can be read of a message; a peer of another version may send what can't. */
-function listTold (body: unknown): ToldLimit[] {
-  return Array.isArray(body) ? body.filter(isTold) : []
+/** Skips invalid items, which a peer of another version may send. */
+function parseItems (body: unknown): LimitItem[] {
+  return Array.isArray(body) ? body.filter(isLimitItem) : []
 }
 
-function isTold (item: unknown): item is ToldLimit {
-  const { life, perSecond, saidAfter, ageMs } = (item ?? {}) as Partial<Record<keyof ToldLimit, unknown>>
-  const { id, startedAt } = (life ?? {}) as Partial<Record<keyof ServerLife, unknown>>
-  return typeof id === 'string' && [startedAt, perSecond, saidAfter].every(isNumberOrNone) && typeof ageMs === 'number' && ageMs >= 0
+function isLimitItem (item: unknown): item is LimitItem {
+  const { life: incarnation, perSecond, saidAfter, ageMs } = (item ?? {}) as Partial<Record<keyof LimitItem, unknown>>
+  const { id, startedAt } = (incarnation ?? {}) as Partial<Record<keyof ServerLife, unknown>>
+  return typeof id === 'string' && [startedAt, perSecond, saidAfter].every(isOptionalNumber) && typeof ageMs === 'number' && ageMs >= 0
 }
 
-function isNumberOrNone (value: unknown): boolean {
+function isOptionalNumber (value: unknown): boolean {
   return value === undefined || (typeof value === 'number' && !Number.isNaN(value))
 }
--- a/routing/fleet/src/shareLoads.ts
+++ b/routing/fleet/src/shareLoads.ts
@@ -3,64 +3,64 @@
 import type { BackendFleet } from './BackendFleet.js'
 import type { LoadTally } from './LoadTally.js'
 
-/** What one instance has in hand at each server where it has something. */
+/** Load and observations of one instance; servers without any are left out. */
 export interface SharedLoads {
   loads: [backend: string, running: number, prefillTokens: number, cacheTokens: number, suspects?: number][]
-  /** How many of its requests that can still be in time wait for what. */
+  /** Numbers of its waiting requests that may still meet their latency target, by name. */
   waiting: [name: string, count: number][]
-  /** Servers to which no connection comes up. */
+  /** Unreachable servers. */
   down: string[]
-  /** Answers of servers since the last message, and how many of them failed. */
+  /** Failed and total requests by server since the last message. */
   outcomes: [backend: string, failures: number, total: number][]
-  /** Longest pauses of streams that ended since the last message, as a share of what was allowed, and how many streams. */
-  pauses: [backend: string, worst: number, streams: number][]
-  /** Shared beginnings of prompts that servers have read since the last message. */
+  /** Longest pauses of streams that ended since the last message, as a share of the allowed maximum, and the number of streams. */
+  pauses: [backend: string, maxShare: number, streams: number][]
+  /** Shared prompt prefixes that servers processed since the last message. */
   prefixes: [backend: string, weights: string, parts: [id: string, tokens: number][]][]
 }
 
-/** What a message tells that leaves everything out; peers of an older version leave out what they don't know. */
-const NOTHING: SharedLoads = { loads: [], waiting: [], down: [], outcomes: [], pauses: [], prefixes: [] }
+/** Defaults for fields that a peer of an older version leaves out. */
+const EMPTY_LOADS: SharedLoads = { loads: [], waiting: [], down: [], outcomes: [], pauses: [], prefixes: [] }
 const LOADS = defineChannel<SharedLoads>('fleet.loads')
-const SHARE_MS = 100
-/** Up to so many readers hear ten times a second; beyond it each instance sends and reads 120 messages a second at the most. */
-const READERS_AT_FULL_RATE = 12
+const SEND_INTERVAL_MS = 100
+/** Up to this many recipients get ten messages a second; with more, the interval grows so that an instance sends and receives at most 120 a second. */
+const RECIPIENTS_AT_FULL_RATE = 12
 
 export interface ShareLoadsOptions {
   clock: Clock
   network: PeerNetwork
   fleet: BackendFleet
-  /** Instances that are told. */
+  /** Number of instances that receive the messages. */
   countReaders: () => number
-  /** Another instance told something new. */
+  /** Called when another instance sent a message. */
   onChange: () => void
 }
 
-/** Tells the other instances what this one has in hand, soon after it changed, and takes what they tell. */
+/** Sends the load of this instance to the other instances shortly after it changed, and applies theirs. */
 export function shareLoads (opts: ShareLoadsOptions, signal: AbortSignal): void {
   const { network, fleet } = opts
-  const told = new Set<string>()
+  const linkedPeers = new Set<string>()
   let cancel: (() => void) | undefined
-  const tell = (): void => {
+  const send = (): void => {
     cancel = undefined
-    // Loads are absolute, so that the next message makes up for one that a full link dropped; the rest is advice.
+    // Loads are absolute, so the next message makes up for one dropped by a full link; the rest may be lost.
     if (!network.broadcast(LOADS, buildLoads(fleet, opts.clock.readTime()))) schedule()
   }
   const schedule = (): void => {
-    cancel ??= opts.clock.setTimer(computeShareMs(opts.countReaders()), tell)
+    cancel ??= opts.clock.setTimer(computeSendIntervalMs(opts.countReaders()), send)
   }
   const subscriptions = [
     fleet.loadChanges.subscribe(schedule),
     network.receive(LOADS).subscribe(({ from, body }) => {
-      takeLoads(fleet, from, { ...NOTHING, ...body }, opts.clock.readTime())
+      applyLoads(fleet, from, { ...EMPTY_LOADS, ...body }, opts.clock.readTime())
       opts.onChange()
     }),
     network.peerEvents.subscribe((event) => {
       if (event.kind !== 'heard') {
-        told.delete(event.instance)
+        linkedPeers.delete(event.instance)
         fleet.applyPeerLoads(event.instance, new Map())
         fleet.waiting.takeOther(event.instance, [])
-      } else if (event.isNewLink || !told.has(event.identity.instance)) {
-        told.add(event.identity.instance)
+      } else if (event.isNewLink || !linkedPeers.has(event.identity.instance)) {
+        linkedPeers.add(event.identity.instance)
         schedule()
       }
     }),
@@ -71,22 +71,21 @@
   }, { once: true })
 }
 
-/** Takes what a peer tells. */
-function takeLoads (fleet: BackendFleet, from: string, shared: SharedLoads, now: number): void {
-  fleet.applyPeerLoads(from, readTallies(shared))
+function applyLoads (fleet: BackendFleet, from: string, shared: SharedLoads, now: number): void {
+  fleet.applyPeerLoads(from, parseTallies(shared))
   fleet.waiting.takeOther(from, shared.waiting)
-  for (const [backend, weights, parts] of shared.prefixes) fleet.find(backend)?.prefixes.note(weights, parts.map(([id, tokens]) => ({ id, tokens })))
+  for (const [backend, weights, parts] of shared.prefixes) fleet.find(backend)?.cachedPrefixes.record(weights, parts.map(([id, tokens]) => ({ id, tokens })))
   for (const [backend, failures, total] of shared.outcomes) fleet.find(backend)?.failureRate.add(failures, total, now)
-  for (const [backend, worst, streams] of shared.pauses) fleet.find(backend)?.readingShare.learn({ worst, streams }, now)
-  for (const backend of shared.down) fleet.find(backend)?.noteReportedDown(now)
+  for (const [backend, maxShare, streams] of shared.pauses) fleet.find(backend)?.prefillShare.addSample({ maxShare, streams }, now)
+  for (const backend of shared.down) fleet.find(backend)?.recordUnreachableFromPeer(now)
 }
 
-/** Many instances tell less often, so that nobody has to read more. */
-function computeShareMs (readers: number): number {
-  return SHARE_MS * Math.max(1, readers / READERS_AT_FULL_RATE)
+/** More instances send less often, which bounds the messages that each one receives. */
+function computeSendIntervalMs (recipients: number): number {
+  return SEND_INTERVAL_MS * Math.max(1, recipients / RECIPIENTS_AT_FULL_RATE)
 }
 
-function readTallies (shared: SharedLoads): Map<string, LoadTally> {
+function parseTallies (shared: SharedLoads): Map<string, LoadTally> {
   const entries = shared.loads.map(([backend, running, prefillTokens, cacheTokens, suspects = 0]): [string, LoadTally] => [
     backend,
     { running, prefillTokens, cacheTokens, suspects },
@@ -94,7 +93,7 @@
   return new Map(entries)
 }
 
-/** Suspects are rare, and left out when there are none. */
+/** The number of suspects is left out if there are none. */
 function packTally (id: string, { running, prefillTokens, cacheTokens, suspects }: LoadTally): SharedLoads['loads'][number] {
   return suspects > 0 ? [id, running, prefillTokens, cacheTokens, suspects] : [id, running, prefillTokens, cacheTokens]
 }
@@ -106,8 +105,8 @@
     loads: busy.map(({ id, own }) => packTally(id, own)),
     waiting: fleet.waiting.listOwn(),
     down: down.map(({ id }) => id),
-    outcomes: fleet.takeUntoldOutcomes(),
-    pauses: fleet.takeUntoldPauses(),
-    prefixes: fleet.takeUntold().map(({ backend, weights, parts }) => [backend, weights, parts.map(({ id, tokens }) => [id, tokens])]),
+    outcomes: fleet.takePendingOutcomes(),
+    pauses: fleet.takePendingPauses(),
+    prefixes: fleet.takePendingPrefixes().map(({ backend, weights, parts }) => [backend, weights, parts.map(({ id, tokens }) => [id, tokens])]),
   }
 }
--- a/routing/fleet/src/shareRevived.ts
+++ b/routing/fleet/src/shareRevived.ts
@@ -1,48 +1,45 @@
 import { defineChannel, type PeerNetwork } from '@pulleystack/membership.peers'
-import type { BackendDirectory, RevivedServers } from './BackendDirectory.js'
+import type { BackendDirectory, StaleServers } from './BackendDirectory.js'
 
-/** What an older copy of the store shows of servers that had gone or said that they leave. Whoever links later is told again. */
-const REVIVED = defineChannel<RevivedServers>('fleet.revived', { isOnce: true })
-/** An instance that begins to follow the store asks those that it is linked to already. */
-const REVIVED_WANTED = defineChannel<Record<string, never>>('fleet.revived-wanted', { isOnce: true })
+/** Servers whose entries in the restored store are out of date; sent again over each new link. */
+const STALE_SERVERS = defineChannel<StaleServers>('fleet.revived', { isOnce: true })
+/** Sent by an instance that begins to follow the store to the peers it is already linked to. */
+const STALE_SERVERS_REQUEST = defineChannel<Record<string, never>>('fleet.revived-wanted', { isOnce: true })
 
-export interface ShareRevivedOptions {
+export interface ShareStaleServersOptions {
   network: PeerNetwork
   directory: BackendDirectory
 }
 
-/**
- * Tells instances that start while the store comes back from an older copy, and know nothing else, what the others know better; gives what tells all that
- * are linked now.
- */
-export function shareRevived ({ network, directory }: ShareRevivedOptions, signal: AbortSignal): () => void {
-  const tell = (instance: string): void => {
-    const revived = directory.describeRevived()
-    if (revived) network.send(instance, REVIVED, revived)
+/** Tells instances that start while the store is being restored which entries are out of date. The returned function sends this to all linked instances. */
+export function shareRevived ({ network, directory }: ShareStaleServersOptions, signal: AbortSignal): () => void {
+  const sendTo = (instance: string): void => {
+    const stale = directory.describeStaleServers()
+    if (stale) network.send(instance, STALE_SERVERS, stale)
   }
   const subscriptions = [
-    network.receive(REVIVED_WANTED).subscribe(({ from }) => tell(from)),
-    network.receive(REVIVED).subscribe(({ body }) => {
-      if (isRevived(body)) directory.takeRevived(body)
+    network.receive(STALE_SERVERS_REQUEST).subscribe(({ from }) => sendTo(from)),
+    network.receive(STALE_SERVERS).subscribe(({ body }) => {
+      if (isStaleServers(body)) directory.applyStaleServers(body)
     }),
     network.peerEvents.subscribe((event) => {
-      if (event.kind === 'heard' && event.isNewLink) tell(event.identity.instance)
+      if (event.kind === 'heard' && event.isNewLink) sendTo(event.identity.instance)
     }),
   ]
-  network.broadcast(REVIVED_WANTED, {})
+  network.broadcast(STALE_SERVERS_REQUEST, {})
   signal.addEventListener('abort', () => subscriptions.forEach((it) => it.unsubscribe()), { once: true })
   return () => {
-    const revived = directory.describeRevived()
-    if (revived) network.broadcast(REVIVED, revived)
+    const stale = directory.describeStaleServers()
+    if (stale) network.broadcast(STALE_SERVERS, stale)
   }
 }
 
-/** A peer of another version may send what is none. */
-function isRevived (body: unknown): body is RevivedServers {
-  const { version, servers } = (body ?? {}) as Partial<Record<keyof RevivedServers, unknown>>
-  return typeof version === 'number' && Array.isArray(servers) && servers.every(isServer)
+/** Rejects invalid messages, which a peer of another version may send. */
+function isStaleServers (body: unknown): body is StaleServers {
+  const { version, servers } = (body ?? {}) as Partial<Record<keyof StaleServers, unknown>>
+  return typeof version === 'number' && Array.isArray(servers) && servers.every(isServerItem)
 }
 
-function isServer (item: unknown): boolean {
+function isServerItem (item: unknown): boolean {
   return Array.isArray(item) && typeof item[0] === 'string' && typeof item[1] === 'boolean'
 }
--- a/routing/fleet/test/BackendDirectory.test.ts
+++ b/routing/fleet/test/BackendDirectory.test.ts
@@ -3,60 +3,60 @@
 import { ManualClock } from '@pulleystack/core.clock'
 import { BackendDirectory, BackendFleet, type BackendEntry } from '../src/index.js'
 
-const SETTLED_MS = 60_000
+const LONG_RECOVERED_MS = 60_000
 
 function createEntry (id: string, draining = false): BackendEntry {
   return { id, service: 's', address: '127.0.0.1:1', dataHall: 'z', slots: 1, draining, models: undefined, inMemory: [], onDisk: [] }
 }
 
-describe('the directory of backend servers', () => {
+describe('backend directory', () => {
   let clock: ManualClock
   let fleet: BackendFleet
   let directory: BackendDirectory
-  let settledMs: number
+  let msSinceRecovery: number
   const listIds = (): string[] => fleet.listAll().map((backend) => backend.id)
 
   beforeEach(() => {
     clock = new ManualClock()
     fleet = new BackendFleet()
-    settledMs = SETTLED_MS
-    directory = new BackendDirectory({ clock, fleet, readSettledMs: () => settledMs })
+    msSinceRecovery = LONG_RECOVERED_MS
+    directory = new BackendDirectory({ clock, fleet, readSettledMs: () => msSinceRecovery })
     directory.put(createEntry('r1'))
     directory.put(createEntry('r2', true))
   })
 
-  it('drops at once a server whose entry can\'t be read, also just after the store was away', () => {
-    settledMs = 0
+  it('removes a server with an unreadable entry at once, even shortly after a store outage', () => {
+    msSinceRecovery = 0
     directory.drop('r1')
     assert.deepEqual(listIds(), ['r2'])
   })
 
-  describe('with a server that starts again under its id', () => {
+  describe('with a server that restarts under the same id', () => {
     beforeEach(() => {
       directory.put({ ...createEntry('r3'), startedAt: 1_000, models: [{ name: 'm', adapters: [] }] })
       const backend = fleet.find('r3')
-      backend?.prefixes.note('m', [{ id: 'a', tokens: 100 }])
+      backend?.cachedPrefixes.record('m', [{ id: 'a', tokens: 100 }])
       backend?.noteModel('n', true)
       fleet.applyPeerLoads('e2', new Map([['r3', { running: 3, prefillTokens: 10, cacheTokens: 10, suspects: 0 }]]))
     })
 
-    it('knows nothing of the former life', () => {
+    it('discards the state of the former incarnation', () => {
       directory.put({ ...createEntry('r3'), startedAt: 2_000, models: [] })
       const backend = fleet.find('r3')
       assert.equal(backend?.hasWeights('m'), false)
       assert.equal(backend.hasWeights('n'), false)
       assert.equal(backend.readLoad().running, 0)
-      assert.equal(backend.prefixes.countKept('m', [{ id: 'a', tokens: 100 }]), 0)
+      assert.equal(backend.cachedPrefixes.countCachedTokens('m', [{ id: 'a', tokens: 100 }]), 0)
     })
 
-    it('tells that the former one is gone, so that orders to it are void', () => {
+    it('reports the former incarnation as removed, so that orders to it are cancelled', () => {
       const kinds: string[] = []
       fleet.changes.subscribe(({ kind }) => kinds.push(kind))
       directory.put({ ...createEntry('r3'), startedAt: 2_000 })
       assert.deepEqual(kinds, ['removed', 'added'])
     })
 
-    it('goes on where the start is the same or isn\'t told', () => {
+    it('keeps the state if the start time is the same or missing', () => {
       const before = fleet.find('r3')
       directory.put({ ...createEntry('r3'), startedAt: 1_000 })
       directory.put(createEntry('r3'))
@@ -64,17 +64,17 @@
     })
   })
 
-  it('drops at once a server whose entry goes', () => {
+  it('removes a server at once when its entry is removed', () => {
     directory.remove('r1')
     assert.deepEqual(listIds(), ['r2'])
   })
 
-  describe('just after the store was away', () => {
+  describe('shortly after a store outage', () => {
     beforeEach(() => {
-      settledMs = 100
+      msSinceRecovery = 100
     })
 
-    it('keeps what it knows of a server that writes itself again', async () => {
+    it('keeps the state of a server that publishes its entry again', async () => {
       const before = fleet.find('r1')
       directory.keepOnly(new Set())
       await clock.advance(2_000)
@@ -84,7 +84,7 @@
       assert.equal(fleet.find('r1'), before)
     })
 
-    it('drops a server that is still missing after the time in which it would have', async () => {
+    it('removes a server whose entry is still missing after the grace period', async () => {
       directory.remove('r1')
       directory.remove('r1')
       await clock.advance(2_300)
@@ -93,136 +93,136 @@
       assert.deepEqual(listIds(), ['r2'])
     })
 
-    it('drops at once a server that had said that it leaves', () => {
+    it('removes a draining server at once', () => {
       directory.remove('r2')
       assert.deepEqual(listIds(), ['r1'])
     })
   })
 
-  describe('after the store came back from an older copy', () => {
-    const RESTORED = 100
-    /** Three heartbeats of silence, after which the entry of a server that ended has run out again. */
-    const REVIVED_MS = 5_000
-    const isLeaving = (id: string): boolean | undefined => fleet.find(id)?.entry.draining
+  describe('after the store was restored from an older snapshot', () => {
+    const RESTORED_VERSION = 100
+    /** Time after which the entry of a stopped server has expired again. */
+    const STALE_ENTRY_EXPIRY_MS = 5_000
+    const isDraining = (id: string): boolean | undefined => fleet.find(id)?.entry.draining
 
     const restore = (...entries: BackendEntry[]): void => {
-      settledMs = 0
-      directory.noteRestored(RESTORED)
-      for (const entry of entries) directory.put(entry, RESTORED - 10)
+      msSinceRecovery = 0
+      directory.noteRestored(RESTORED_VERSION)
+      for (const entry of entries) directory.put(entry, RESTORED_VERSION - 10)
       directory.keepOnly(new Set(entries.map(({ id }) => id)))
     }
 
-    // Guards against an older entry that takes back a server's word that it leaves.
-    it('keeps the word of a server that leaves until the server itself takes it back', async () => {
+    // Guards against an older entry that undoes the drain of a server.
+    it('keeps a server draining until it publishes a newer entry', async () => {
       restore(createEntry('r1'), createEntry('r2'))
-      await clock.advance(2 * REVIVED_MS)
-      directory.put(createEntry('r2'), RESTORED - 10)
-      assert.equal(isLeaving('r2'), true)
-      directory.put(createEntry('r2'), RESTORED + 1)
-      assert.equal(isLeaving('r2'), false)
+      await clock.advance(2 * STALE_ENTRY_EXPIRY_MS)
+      directory.put(createEntry('r2'), RESTORED_VERSION - 10)
+      assert.equal(isDraining('r2'), true)
+      directory.put(createEntry('r2'), RESTORED_VERSION + 1)
+      assert.equal(isDraining('r2'), false)
     })
 
-    it('takes the word of a server that it leaves, whichever history it is of', () => {
+    it('applies a drain from an entry of any version', () => {
       restore(createEntry('r1', true), createEntry('r2', true))
-      assert.equal(isLeaving('r1'), true)
+      assert.equal(isDraining('r1'), true)
     })
 
-    // Guards against requests to a server that ended in the moments that the store has lost.
-    it('brings back a server that had gone once it stands for longer than its entry could without it', async () => {
+    // Guards against requests to a server that stopped after the snapshot was taken.
+    it('restores a removed server only if its entry outlasts the expiry of stale entries', async () => {
       directory.remove('r1')
       restore(createEntry('r1'), createEntry('r2', true))
-      await clock.advance(REVIVED_MS - 100)
+      await clock.advance(STALE_ENTRY_EXPIRY_MS - 100)
       assert.deepEqual(listIds(), ['r2'])
       await clock.advance(100)
-      assert.equal(isLeaving('r1'), false)
+      assert.equal(isDraining('r1'), false)
     })
 
-    it('does not bring back one whose entry goes again, and brings back at once one that writes itself', async () => {
+    it('does not restore a server whose entry is removed again, and restores one that publishes its entry at once', async () => {
       for (const id of ['r1', 'r2']) directory.remove(id)
       restore(createEntry('r1'), createEntry('r2'))
       directory.remove('r1')
-      directory.put(createEntry('r2'), RESTORED + 1)
-      await clock.advance(2 * REVIVED_MS)
+      directory.put(createEntry('r2'), RESTORED_VERSION + 1)
+      await clock.advance(2 * STALE_ENTRY_EXPIRY_MS)
       assert.deepEqual(listIds(), ['r2'])
     })
 
-    it('never uses one again that had said that it leaves, and had gone, before it writes itself', async () => {
+    it('does not use a removed draining server again before it publishes its entry', async () => {
       directory.remove('r2')
       restore(createEntry('r1'), createEntry('r2'))
-      await clock.advance(2 * REVIVED_MS)
-      assert.notEqual(isLeaving('r2'), false)
+      await clock.advance(2 * STALE_ENTRY_EXPIRY_MS)
+      assert.notEqual(isDraining('r2'), false)
     })
 
-    it('keeps servers that the copy lacks for as long as they take to write themselves again', async () => {
+    it('keeps servers missing from the snapshot until they have had time to publish their entries', async () => {
       restore()
       await clock.advance(2_400)
       assert.deepEqual(listIds(), ['r1'])
-      directory.put(createEntry('r1'), RESTORED + 1)
-      await clock.advance(2 * REVIVED_MS)
+      directory.put(createEntry('r1'), RESTORED_VERSION + 1)
+      await clock.advance(2 * STALE_ENTRY_EXPIRY_MS)
       assert.deepEqual(listIds(), ['r1'])
     })
 
-    it('adds servers that nothing was known of', () => {
+    it('adds unknown servers', () => {
       restore(createEntry('r1'), createEntry('r3'))
-      assert.equal(isLeaving('r3'), false)
+      assert.equal(isDraining('r3'), false)
     })
 
-    it('keeps what it knows when the store comes back again', async () => {
+    it('keeps its state when the store is restored a second time', async () => {
       restore(createEntry('r1'), createEntry('r2'))
-      await clock.advance(REVIVED_MS - 100)
-      directory.noteRestored(2 * RESTORED)
-      directory.put(createEntry('r2'), 2 * RESTORED - 10)
-      await clock.advance(2 * REVIVED_MS)
-      assert.equal(isLeaving('r2'), true)
+      await clock.advance(STALE_ENTRY_EXPIRY_MS - 100)
+      directory.noteRestored(2 * RESTORED_VERSION)
+      directory.put(createEntry('r2'), 2 * RESTORED_VERSION - 10)
+      await clock.advance(2 * STALE_ENTRY_EXPIRY_MS)
+      assert.equal(isDraining('r2'), true)
     })
 
-    // Guards against an instance that starts in that moment and takes the older copy's word.
+    // Guards against an instance that starts during a restore and relies on outdated entries.
     describe('seen by an instance that starts meanwhile', () => {
-      let started: BackendDirectory
-      let seen: BackendFleet
-      const listReady = (): string[] => seen.listAll().filter(({ entry }) => !entry.draining).map(({ id }) => id).sort()
-      const list = (): void => {
-        for (const id of ['r1', 'r2', 'r3']) started.put(createEntry(id), RESTORED - 10)
+      let newDirectory: BackendDirectory
+      let newFleet: BackendFleet
+      const listReady = (): string[] => newFleet.listAll().filter(({ entry }) => !entry.draining).map(({ id }) => id).sort()
+      const listStore = (): void => {
+        for (const id of ['r1', 'r2', 'r3']) newDirectory.put(createEntry(id), RESTORED_VERSION - 10)
       }
-      const tell = (): void => {
-        const revived = directory.describeRevived()
-        if (revived) started.takeRevived(revived)
+      const sendStale = (): void => {
+        const stale = directory.describeStaleServers()
+        if (stale) newDirectory.applyStaleServers(stale)
       }
 
       beforeEach(() => {
-        seen = new BackendFleet()
-        started = new BackendDirectory({ clock, fleet: seen, readSettledMs: () => SETTLED_MS })
+        newFleet = new BackendFleet()
+        newDirectory = new BackendDirectory({ clock, fleet: newFleet, readSettledMs: () => LONG_RECOVERED_MS })
         directory.put(createEntry('r3'))
         directory.remove('r1')
         restore(createEntry('r1'), createEntry('r2'), createEntry('r3'))
       })
 
-      it('are used without those that its peers know better, whether it lists before or after it is told', () => {
-        list()
-        tell()
+      it('excludes servers that peers know to be gone or draining, whether it lists the store before or after they tell it', () => {
+        listStore()
+        sendStale()
         assert.deepEqual(listReady(), ['r3'])
-        list()
+        listStore()
         assert.deepEqual(listReady(), ['r3'])
       })
 
-      it('are used again as any are once they write themselves', () => {
-        tell()
-        list()
-        started.put(createEntry('r1'), RESTORED + 1)
-        tell()
+      it('uses a server again once it publishes its entry', () => {
+        sendStale()
+        listStore()
+        newDirectory.put(createEntry('r1'), RESTORED_VERSION + 1)
+        sendStale()
         assert.deepEqual(listReady(), ['r1', 'r3'])
       })
 
-      it('are used after a while if their entries stand, but for those that leave', async () => {
-        list()
-        tell()
-        await clock.advance(REVIVED_MS)
+      it('uses servers again after a while if their entries persist, except for draining ones', async () => {
+        listStore()
+        sendStale()
+        await clock.advance(STALE_ENTRY_EXPIRY_MS)
         assert.deepEqual(listReady(), ['r1', 'r3'])
       })
 
-      it('are told of no more once servers have had time to write themselves', async () => {
-        await clock.advance(REVIVED_MS)
-        assert.equal(directory.describeRevived(), undefined)
+      it('is no longer sent out-of-date entries once servers have had time to publish theirs', async () => {
+        await clock.advance(STALE_ENTRY_EXPIRY_MS)
+        assert.equal(directory.describeStaleServers(), undefined)
       })
     })
   })
--- a/routing/fleet/test/ServerBackoff.test.ts
+++ b/routing/fleet/test/ServerBackoff.test.ts
@@ -4,14 +4,14 @@
 
 const HOUR_MS = 3_600_000
 
-describe('the rest that a server asked for', () => {
+describe('server backoff', () => {
   let backoff: ServerBackoff
 
   beforeEach(() => {
     backoff = new ServerBackoff()
   })
 
-  it('lasts as long as it said', () => {
+  it('lasts for the requested time', () => {
     assert.equal(backoff.extend(3_000, 1_000), true)
     assert.equal(backoff.isActive(3_999), true)
     assert.equal(backoff.readLeftMs(3_000), 1_000)
@@ -19,7 +19,7 @@
     assert.equal(backoff.readLeftMs(5_000), 0)
   })
 
-  it('becomes longer by a later one, and never shorter', () => {
+  it('is extended by a later request, but never shortened', () => {
     backoff.extend(3_000, 0)
     assert.equal(backoff.extend(1_000, 1_000), false)
     assert.equal(backoff.readLeftMs(1_000), 2_000)
@@ -27,25 +27,25 @@
     assert.equal(backoff.readLeftMs(1_000), 3_000)
   })
 
-  it('is an hour at the most', () => {
+  it('is capped at one hour', () => {
     backoff.extend(1e15, 0)
     assert.equal(backoff.readLeftMs(0), HOUR_MS)
   })
 
-  it('is none when it is asked for no time', () => {
+  it('is not started by a request for no time', () => {
     assert.equal(backoff.extend(0, 10), false)
     assert.equal(backoff.isActive(10), false)
-    assert.equal(backoff.hasCredit(), true)
+    assert.equal(backoff.hasAllowance(), true)
   })
 
-  describe('once it is over', () => {
+  describe('once it has ended', () => {
     const takeAll = (): CreditUse[] => {
       const uses: CreditUse[] = []
-      while (backoff.hasCredit() && uses.length < 1_000) uses.push(backoff.take())
+      while (backoff.hasAllowance() && uses.length < 1_000) uses.push(backoff.take())
       return uses
     }
 
-    it('lets one request follow, and twice as many with each round of answers, until all may', () => {
+    it('allows one request, then twice as many with each round of responses, until the ramp-up ends', () => {
       backoff.extend(100, 0)
       const rounds: number[] = []
       for (let round = 0; round < 5; round++) {
@@ -57,17 +57,17 @@
       assert.deepEqual(rounds, [1, 2, 4, 8, 1_000])
     })
 
-    it('lets another one follow in place of one that ended without an answer', () => {
+    it('allows another request in place of one that ended without a response', () => {
       backoff.extend(100, 0)
       takeAll().forEach((use) => use.end())
       assert.equal(takeAll().length, 1)
     })
 
-    it('learns nothing from requests that were sent before it was asked for', () => {
-      const before = [backoff.take(), backoff.take()]
+    it('ignores responses to requests sent before the backoff', () => {
+      const earlier = [backoff.take(), backoff.take()]
       backoff.extend(100, 0)
-      before[0]?.noteAnswered()
-      before.forEach((use) => use.end())
+      earlier[0]?.noteAnswered()
+      earlier.forEach((use) => use.end())
       assert.equal(takeAll().length, 1)
     })
   })
--- a/routing/fleet/test/chooseBackend.test.ts
+++ b/routing/fleet/test/chooseBackend.test.ts
@@ -22,7 +22,7 @@
   }
 }
 
-describe('the choice of a backend server', () => {
+describe('choice of a backend server', () => {
   let fleet: BackendFleet
   let readingLimit: number
   const choose = (demand: Partial<GenerationDemand> = {}, excluded: string[] = [], now = 0): BackendChoice | ChoiceFailure => chooseBackend({
@@ -45,73 +45,73 @@
     fleet.replaceAll([createEntry({ id: 'r1' }), createEntry({ id: 'r2', dataHall: 'z2' })])
   })
 
-  it('takes the own data hall when all else is alike', () => {
+  it('prefers the own data hall when all else is equal', () => {
     assert.equal(chooseId(), 'r1')
   })
 
-  it('takes the server that has read the prompt, wherever it stands', () => {
-    find('r2').prefixes.note('m', DEMAND.parts)
+  it('prefers a server with the prompt in its cache, in any data hall', () => {
+    find('r2').cachedPrefixes.record('m', DEMAND.parts)
     assert.equal(chooseId(), 'r2')
   })
 
-  describe('while servers read prompts', () => {
+  describe('while servers process prompts', () => {
     beforeEach(() => {
       readingLimit = 5_000
     })
 
-    it('takes one that has little to read', () => {
+    it('chooses a server with few pending prompt tokens', () => {
       find('r1').own.prefillTokens = 2_500
       assert.equal(chooseId(), 'r2')
     })
 
-    it('takes none when one more prompt would hold up the streams of each', () => {
+    it('chooses no server if one more prompt would delay the streams of each', () => {
       for (const id of ['r1', 'r2']) find(id).own.prefillTokens = 3_500
       assert.equal(choose(), ChoiceFailures.READING)
     })
 
-    it('lets a long prompt in beside a short one, so that it is not held back for ever', () => {
+    it('admits a long prompt beside a short one, so that it is not starved', () => {
       for (const id of ['r1', 'r2']) find(id).own.prefillTokens = 800
       assert.equal(chooseId({ promptTokens: 50_000 }), 'r1')
     })
 
-    it('counts only what a server has not read before', () => {
+    it('counts only prompt tokens that are not cached', () => {
       for (const id of ['r1', 'r2']) find(id).own.prefillTokens = 3_500
-      find('r2').prefixes.note('m', DEMAND.parts)
+      find('r2').cachedPrefixes.record('m', DEMAND.parts)
       assert.equal(chooseId(), 'r2')
     })
 
-    it('gives a server that reads nothing a prompt of any length', () => {
+    it('sends a prompt of any length to an idle server', () => {
       find('r1').own.prefillTokens = 2_500
       assert.equal(chooseId({ promptTokens: 50_000 }), 'r2')
     })
 
-    it('says that servers are full when they have no places, whatever they read', () => {
+    it('reports servers without free slots as full, regardless of pending prompt tokens', () => {
       for (const id of ['r1', 'r2']) Object.assign(find(id).own, { prefillTokens: 2_500, running: FIGURES.batchSlots })
       assert.equal(choose(), ChoiceFailures.FULL)
     })
   })
 
-  it('passes over a server that leaves, from the moment that it is known', () => {
+  it('skips a draining server as soon as it is known to drain', () => {
     fleet.put(createEntry({ id: 'r1', draining: true }))
     assert.equal(chooseId(), 'r2')
     fleet.put(createEntry({ id: 'r2', draining: true }))
     assert.equal(choose(), ChoiceFailures.NO_BACKEND)
   })
 
-  it('passes over a server to which no connection came up, until its time is over', () => {
+  it('skips an unreachable server until its backoff has ended', () => {
     find('r1').noteUnreachable(0)
     assert.equal(chooseId({}, [], 100), 'r2')
     assert.equal(chooseId({}, [], 10_000), 'r1')
   })
 
-  it('passes over a server that fails clearly more often than its like', () => {
+  it('skips a server that fails clearly more often than similar servers', () => {
     fleet.put(createEntry({ id: 'r3', dataHall: 'z3' }))
     for (let i = 0; i < 10; i++) fleet.noteOutcome(find('r1'), i % 2 === 0, 0)
     assert.notEqual(chooseId(), 'r1')
     assert.equal(chooseId({}, [], 30_000), 'r1')
   })
 
-  it('counts what other instances have in hand', () => {
+  it('counts the load of other instances', () => {
     fleet.applyPeerLoads('e2', new Map([['r1', { running: 8, prefillTokens: 0, cacheTokens: 0, suspects: 0 }]]))
     assert.equal(chooseId(), 'r2')
     fleet.applyPeerLoads('e2', new Map([['r1', { running: 8, prefillTokens: 0, cacheTokens: 0, suspects: 0 }], ['r2', { running: 8, prefillTokens: 0, cacheTokens: 0, suspects: 0 }]]))
@@ -120,7 +120,7 @@
     assert.equal(chooseId(), 'r1')
   })
 
-  it('never promises more of the KV cache than there is, but to a server that runs nothing', () => {
+  it('never overcommits the KV cache, except on an idle server', () => {
     const large = { promptTokens: 95_000, parts: [] }
     assert.equal(chooseId(large), 'r1')
     for (const id of ['r1', 'r2']) find(id).own.running = 1
@@ -128,18 +128,18 @@
     assert.equal(choose(large), ChoiceFailures.FULL)
   })
 
-  it('tells a model or adapter that nobody holds from servers that are full', () => {
+  it('distinguishes a model or adapter that no server has from full servers', () => {
     assert.equal(choose({ model: 'other' }), ChoiceFailures.NOT_RESIDENT)
     assert.equal(choose({ adapter: 'a1' }), ChoiceFailures.NOT_RESIDENT)
     find('r2').noteAdapter('m', 'a1', true)
     assert.equal(chooseId({ adapter: 'a1' }), 'r2')
   })
 
-  it('asks for another copy when every holder has failed the request', () => {
+  it('asks for another copy when the request failed at every server with the model', () => {
     assert.equal(choose({}, ['r1', 'r2']), ChoiceFailures.NOT_RESIDENT)
   })
 
-  it('keeps large prompts from servers that run many streams', () => {
+  it('keeps large prompts away from servers with many streams', () => {
     find('r1').own.running = 5
     assert.equal(chooseId({ promptTokens: 9_000, parts: [] }), 'r2')
   })
--- a/routing/fleet/test/restoredEntries.test.ts
+++ b/routing/fleet/test/restoredEntries.test.ts
@@ -6,10 +6,10 @@
 import { BackendDirectory, BackendFleet, type BackendEntry } from '../src/index.js'
 
 const SERVERS = ['a', 'b', 'c', 'd']
-/** Entries run out after three heartbeats of silence. */
+/** Entries expire after three missed heartbeats. */
 const EXPIRY_MS = 3_600
-const BEAT_MS = 1_200
-/** By hand PULLEYSTACK_EXPLORE=1 plays many more. */
+const HEARTBEAT_MS = 1_200
+/** PULLEYSTACK_EXPLORE=1 runs many more cases. */
 const RUNS = process.env['PULLEYSTACK_EXPLORE'] === undefined ? 300 : 50_000
 
 interface Entry {
@@ -17,94 +17,94 @@
   version: number
 }
 
-/** A store of entries that comes back from older copies, with an instance that lists it and hears of each change. */
-class RestoredStore {
+/** A store of entries that is restored from older snapshots, with an instance that lists it and receives each change. */
+class RestorableStore {
   readonly clock = new ManualClock()
   readonly fleet = new BackendFleet()
-  /** What each server that lives says of itself; a server never takes its leaving back. */
-  readonly alive = new Map<string, boolean>()
-  /** Servers that the instance was told of that they leave. */
-  readonly toldLeaving = new Set<string>()
+  /** Running servers, and whether each is draining; a server never stops draining. */
+  readonly running = new Map<string, boolean>()
+  /** Servers that the instance was told are draining. */
+  readonly knownDraining = new Set<string>()
   private readonly directory: BackendDirectory
   private entries = new Map<string, Entry>()
-  private copy = new Map<string, Entry>()
+  private snapshot = new Map<string, Entry>()
   private epoch = 0
   private revision = 0
-  private copyRevision = 0
-  private settledAt = -Infinity
-  private life = 0
+  private snapshotRevision = 0
+  private restoredAt = -Infinity
+  private nextIncarnation = 0
 
   constructor () {
     const { clock, fleet } = this
-    this.directory = new BackendDirectory({ clock, fleet, readSettledMs: () => clock.readTime() - this.settledAt })
+    this.directory = new BackendDirectory({ clock, fleet, readSettledMs: () => clock.readTime() - this.restoredAt })
   }
 
-  /** A new life, which has an id of its own. */
-  join (name: string): void {
-    const id = `${name}${this.life++}`
-    this.alive.set(id, false)
+  /** Starts a server; each incarnation has its own id. */
+  start (name: string): void {
+    const id = `${name}${this.nextIncarnation++}`
+    this.running.set(id, false)
     this.write(id)
   }
 
-  announceLeaving (at: number): void {
-    const id = this.pick(at)
+  drain (index: number): void {
+    const id = this.pick(index)
     if (id === undefined) return
-    this.alive.set(id, true)
+    this.running.set(id, true)
     this.write(id)
   }
 
-  /** A server ends, and its entry goes. */
-  end (at: number): void {
-    const id = this.pick(at)
+  /** Stops a server and removes its entry. */
+  stop (index: number): void {
+    const id = this.pick(index)
     if (id === undefined) return
-    this.alive.delete(id)
+    this.running.delete(id)
     this.remove(id)
   }
 
-  takeCopy (): void {
-    this.copy = new Map(this.entries)
-    this.copyRevision = this.revision
+  takeSnapshot (): void {
+    this.snapshot = new Map(this.entries)
+    this.snapshotRevision = this.revision
   }
 
-  /** The store comes back, and the instance lists it. */
+  /** Restores the last snapshot, and has the instance list the store. */
   restore (): void {
     this.epoch++
-    this.revision = this.copyRevision
-    this.entries = new Map([...this.copy].map(([id, entry]) => [id, { ...entry, version: this.version }]))
-    this.settledAt = this.clock.readTime()
+    this.revision = this.snapshotRevision
+    this.entries = new Map([...this.snapshot].map(([id, entry]) => [id, { ...entry, version: this.version }]))
+    this.restoredAt = this.clock.readTime()
     this.directory.noteRestored(this.version)
-    for (const [id, entry] of this.entries) this.tell(id, entry)
+    for (const [id, entry] of this.entries) this.notify(id, entry)
     this.directory.keepOnly(new Set(this.entries.keys()))
     this.clock.setTimer(EXPIRY_MS, () => this.expire())
   }
 
-  /** All servers that live write their entries, as they do with each heartbeat. */
+  /** Publishes the entries of all running servers, as each heartbeat does. */
   writeAll (): void {
-    for (const id of this.alive.keys()) this.write(id)
+    for (const id of this.running.keys()) this.write(id)
   }
 
   listUsed (): string[] {
     return this.fleet.listAll().filter(({ entry }) => !entry.draining).map(({ id }) => id).sort()
   }
 
-  listSound (): string[] {
-    return [...this.alive].filter(([, draining]) => !draining).map(([id]) => id).sort()
+  listHealthy (): string[] {
+    return [...this.running].filter(([, draining]) => !draining).map(([id]) => id).sort()
   }
 
   private get version (): number {
     return buildVersion(this.epoch, this.revision)
   }
 
-  private pick (at: number): string | undefined {
-    const ids = [...this.alive.keys()]
-    return ids[at % Math.max(1, ids.length)]
+  private pick (index: number): string | undefined {
+    const ids = [...this.running.keys()]
+    return ids[index % Math.max(1, ids.length)]
   }
 
   private write (id: string): void {
     this.revision++
-    const entry = { draining: this.alive.get(id) ?? false, version: this.version }
+    const entry = { draining: this.running.get(id) ?? false, version: this.version }
     this.entries.set(id, entry)
-    this.tell(id, entry)
+    this.notify(id, entry)
   }
 
   private remove (id: string): void {
@@ -113,11 +113,11 @@
   }
 
   private expire (): void {
-    for (const id of [...this.entries.keys()]) if (!this.alive.has(id)) this.remove(id)
+    for (const id of [...this.entries.keys()]) if (!this.running.has(id)) this.remove(id)
   }
 
-  private tell (id: string, { draining, version }: Entry): void {
-    if (draining) this.toldLeaving.add(id)
+  private notify (id: string, { draining, version }: Entry): void {
+    if (draining) this.knownDraining.add(id)
     this.directory.put(createEntry(id, draining), version)
   }
 }
@@ -126,35 +126,35 @@
   return { id, service: 's', address: `${id}:1`, dataHall: 'z', slots: 1, draining, models: undefined, inMemory: [], onDisk: [] }
 }
 
-describe('backend servers in a store that comes back from older copies', () => {
+describe('backend servers in a store that is restored from older snapshots', () => {
   const step = fc.oneof(
-    fc.record({ kind: fc.constant('join' as const), name: fc.constantFrom(...SERVERS) }),
-    fc.record({ kind: fc.constant('leave' as const), at: fc.nat(9) }),
-    fc.record({ kind: fc.constant('end' as const), at: fc.nat(9) }),
-    fc.record({ kind: fc.constant('copy' as const) }),
+    fc.record({ kind: fc.constant('start' as const), name: fc.constantFrom(...SERVERS) }),
+    fc.record({ kind: fc.constant('drain' as const), at: fc.nat(9) }),
+    fc.record({ kind: fc.constant('stop' as const), at: fc.nat(9) }),
+    fc.record({ kind: fc.constant('snapshot' as const) }),
     fc.record({ kind: fc.constant('restore' as const) }),
-    fc.record({ kind: fc.constant('beat' as const) }),
-    fc.record({ kind: fc.constant('pass' as const), ms: fc.integer({ min: 1, max: 6_000 }) }),
+    fc.record({ kind: fc.constant('heartbeat' as const) }),
+    fc.record({ kind: fc.constant('advance' as const), ms: fc.integer({ min: 1, max: 6_000 }) }),
   )
 
-  // Guards against requests to servers that had said that they leave, and against sound ones that are not used again.
-  it('are never used once they said that they leave, and all that are sound are used in the end', async () => {
+  // Guards against requests to draining servers, and against healthy servers that are never used again.
+  it('are never used once they drain, and all healthy ones are used in the end', async () => {
     await fc.assert(fc.asyncProperty(fc.array(step, { maxLength: 40 }), async (steps) => {
-      const store = new RestoredStore()
+      const store = new RestorableStore()
       for (const it of steps) {
-        if (it.kind === 'join') store.join(it.name)
-        else if (it.kind === 'leave') store.announceLeaving(it.at)
-        else if (it.kind === 'end') store.end(it.at)
-        else if (it.kind === 'copy') store.takeCopy()
+        if (it.kind === 'start') store.start(it.name)
+        else if (it.kind === 'drain') store.drain(it.at)
+        else if (it.kind === 'stop') store.stop(it.at)
+        else if (it.kind === 'snapshot') store.takeSnapshot()
         else if (it.kind === 'restore') store.restore()
-        else if (it.kind === 'beat') store.writeAll()
+        else if (it.kind === 'heartbeat') store.writeAll()
         else await store.clock.advance(it.ms)
-        assert.deepEqual(store.listUsed().filter((id) => store.toldLeaving.has(id)), [])
+        assert.deepEqual(store.listUsed().filter((id) => store.knownDraining.has(id)), [])
       }
-      await store.clock.advance(BEAT_MS)
+      await store.clock.advance(HEARTBEAT_MS)
       store.writeAll()
       await store.clock.advance(2 * EXPIRY_MS)
-      assert.deepEqual(store.listUsed(), store.listSound())
+      assert.deepEqual(store.listUsed(), store.listHealthy())
     }), { numRuns: RUNS, seed: 59 })
   })
 })
--- a/routing/fleet/test/shareLimits.test.ts
+++ b/routing/fleet/test/shareLimits.test.ts
@@ -5,22 +5,22 @@
 import { defineChannel } from '@pulleystack/membership.peers'
 import { BackendFleet, shareLimits, type Backend } from '../src/index.js'
 
-const LIFE = { id: 's', startedAt: 1 }
-const MOMENT_MS = 50
+const SERVER = { id: 's', startedAt: 1 }
+const MESSAGE_DELAY_MS = 50
 
-/** Instances of which two serve and know a server, and one stands by and knows none. */
-describe('what instances tell each other of limits', () => {
+/** Two serving instances that know the server, and a standby instance that doesn't. */
+describe('limits exchanged between instances', () => {
   let clock: ManualClock
   let hub: FakeHub
   let fleets: Record<string, BackendFleet>
   let networks: Record<string, FakeNetwork>
 
   const findFleet = (name: string): BackendFleet => fleets[name] as BackendFleet
-  const hear = (name: string, perSecond: number | undefined, sentAt = clock.readTime()): void => {
+  const recordLimit = (name: string, perSecond: number | undefined, sentAt = clock.readTime()): void => {
     const fleet = findFleet(name)
-    fleet.noteLimit(fleet.find(LIFE.id) as Backend, { perSecond, saidAfter: sentAt, saidBefore: clock.readTime() })
+    fleet.noteLimit(fleet.find(SERVER.id) as Backend, { perSecond, saidAfter: sentAt, saidBefore: clock.readTime() })
   }
-  const readLimits = (): (number | undefined)[] => Object.values(fleets).map((fleet) => fleet.findLimit(LIFE).perSecond)
+  const readLimits = (): (number | undefined)[] => Object.values(fleets).map((fleet) => fleet.findLimit(SERVER).perSecond)
 
   beforeEach(async () => {
     clock = new ManualClock()
@@ -31,62 +31,70 @@
     for (const name of ['a', 'b', 'standby']) {
       const network = hub.createNode({ instance: name, incarnation: 1, address: '', peerAddress: '', region: '', dataHall: '', leaving: false })
       const fleet = new BackendFleet()
-      const isServing = name !== 'standby'
-      if (isServing) fleet.put({ ...LIFE, service: 'q', address: 's:1', dataHall: 'z', slots: 8, draining: false, models: undefined, inMemory: [], onDisk: [] })
-      shareLimits({ clock, network, fleet, listStandby: () => isServing ? ['standby'] : [], onNews: () => undefined }, signal)
+      const isActive = name !== 'standby'
+      if (isActive) fleet.put({ ...SERVER, service: 'q', address: 's:1', dataHall: 'z', slots: 8, draining: false, models: undefined, inMemory: [], onDisk: [] })
+      shareLimits({ clock, network, fleet, listStandby: () => isActive ? ['standby'] : [], onNews: () => undefined }, signal)
       fleets[name] = fleet
       networks[name] = network
     }
     await clock.advance(1_000)
   })
 
-  it('is known to all at once, and who heard it', async () => {
-    hear('a', 2)
-    await clock.advance(MOMENT_MS)
+  it('reach all instances at once, with the instance that received them', async () => {
+    recordLimit('a', 2)
+    await clock.advance(MESSAGE_DELAY_MS)
     assert.deepEqual(readLimits(), [2, 2, 2])
-    assert.equal(findFleet('b').findLimit(LIFE).heardBy, 'a')
+    assert.equal(findFleet('b').findLimit(SERVER).heardBy, 'a')
   })
 
-  it('comes to one on standby that is linked to others only', async () => {
+  it('reach a standby instance that is linked to other instances only', async () => {
     hub.cut('a', 'standby')
-    hear('a', 2)
-    await clock.advance(MOMENT_MS)
+    recordLimit('a', 2)
+    await clock.advance(MESSAGE_DELAY_MS)
     assert.deepEqual(readLimits(), [2, 2, 2])
   })
 
-  it('reminds one on standby of limits that stand, and not of others', async () => {
-    hear('a', 2)
-    await clock.advance(MOMENT_MS)
-    const toldAt = findFleet('standby').limitsToldAt
+  it('are repeated to a standby instance while in force, and not afterwards', async () => {
+    recordLimit('a', 2)
+    await clock.advance(MESSAGE_DELAY_MS)
+    const receivedAt = findFleet('standby').limitsToldAt
     await clock.advance(31_000)
-    assert.ok(findFleet('standby').limitsToldAt > toldAt)
-    hear('a', undefined)
-    await clock.advance(MOMENT_MS)
+    assert.ok(findFleet('standby').limitsToldAt > receivedAt)
+    recordLimit('a', undefined)
+    await clock.advance(MESSAGE_DELAY_MS)
     const endedAt = clock.readTime()
     await clock.advance(31_000)
     assert.ok(findFleet('standby').limitsToldAt <= endedAt)
   })
 
-  it('ends for one that heard the limit a moment after the end was told, once an answer shows it again', async () => {
-    hear('a', 2)
-    await clock.advance(MOMENT_MS)
+  it('end at an instance that received the limit after its end was announced, once a response confirms the end', async () => {
+    recordLimit('a', 2)
+    await clock.advance(MESSAGE_DELAY_MS)
     const sentAt = clock.readTime()
     await clock.advance(10)
-    hear('a', undefined, sentAt)
-    // This answer began before the end, and is heard after it.
-    hear('b', 2, sentAt - 20)
-    await clock.advance(MOMENT_MS)
-    assert.equal(findFleet('b').findLimit(LIFE).perSecond, 2)
-    hear('a', undefined)
+    recordLimit('a', undefined, sentAt)
+    // This response began before the limit ended, and arrives afterwards.
+    recordLimit('b', 2, sentAt - 20)
+    await clock.advance(MESSAGE_DELAY_MS)
+    assert.equal(findFleet('b').findLimit(SERVER).perSecond, 2)
+    recordLimit('a', undefined)
     await clock.advance(600)
-    assert.equal(findFleet('b').findLimit(LIFE).perSecond, undefined)
+    assert.equal(findFleet('b').findLimit(SERVER).perSecond, undefined)
   })
 
-  it('is passed over when it makes no sense', async () => {
+  it('are ignored in invalid messages', async () => {
     const channel = defineChannel<unknown>('fleet.limits', { isOnce: true })
-    const bodies = [null, 'limits', [3], [{ life: { id: 7 }, ageMs: 1 }], [{ life: LIFE, perSecond: 'x', ageMs: 1 }], [{ life: LIFE, perSecond: 1 }], [{ life: LIFE, perSecond: 1, ageMs: -5 }]]
+    const bodies = [
+      null,
+      'limits',
+      [3],
+      [{ life: { id: 7 }, ageMs: 1 }],
+      [{ life: SERVER, perSecond: 'x', ageMs: 1 }],
+      [{ life: SERVER, perSecond: 1 }],
+      [{ life: SERVER, perSecond: 1, ageMs: -5 }],
+    ]
     for (const body of bodies) networks['a']?.send('b', channel, body)
-    await clock.advance(MOMENT_MS)
+    await clock.advance(MESSAGE_DELAY_MS)
     assert.deepEqual(readLimits(), [undefined, undefined, undefined])
   })
 })
--- a/routing/fleet/test/shareLoads.test.ts
+++ b/routing/fleet/test/shareLoads.test.ts
@@ -4,9 +4,9 @@
 import { FakeHub, type FakeNetwork } from '@pulleystack/membership.fake-network'
 import { BackendFleet, shareLoads } from '../src/index.js'
 
-const MESSAGE_MS = 200
+const MESSAGE_DELAY_MS = 200
 
-describe('loads that instances tell each other', () => {
+describe('loads exchanged between instances', () => {
   let clock: ManualClock
   let fleet: BackendFleet
   let peer: FakeNetwork
@@ -27,16 +27,16 @@
 
   afterEach(() => ended.abort())
 
-  it('are taken with the suspects among them', async () => {
+  it('include suspect requests', async () => {
     peer.send('own', channel, { loads: [['s1', 3, 100, 200, 1]], waiting: [], down: [], outcomes: [], pauses: [], prefixes: [] })
-    await clock.advance(MESSAGE_MS)
+    await clock.advance(MESSAGE_DELAY_MS)
     assert.deepEqual(fleet.find('s1')?.readLoad(), { running: 3, prefillTokens: 100, cacheTokens: 200, suspects: 1 })
   })
 
-  // During a rolling update some peers are of a version that tells less.
-  it('are taken from a peer that tells nothing but its loads', async () => {
+  // During a rolling update some peers run an older version.
+  it('are accepted from a peer that sends only its loads', async () => {
     peer.send('own', channel, { loads: [['s1', 3, 100, 200]] })
-    await clock.advance(MESSAGE_MS)
+    await clock.advance(MESSAGE_DELAY_MS)
     assert.deepEqual(fleet.find('s1')?.readLoad(), { running: 3, prefillTokens: 100, cacheTokens: 200, suspects: 0 })
   })
 })
--- a/routing/fleet/test/shareRevived.test.ts
+++ b/routing/fleet/test/shareRevived.test.ts
@@ -4,14 +4,14 @@
 import { FakeHub } from '@pulleystack/membership.fake-network'
 import { BackendDirectory, BackendFleet, shareRevived, type BackendEntry } from '../src/index.js'
 
-const MESSAGE_MS = 200
-const RESTORED = 100
+const MESSAGE_DELAY_MS = 200
+const RESTORED_VERSION = 100
 
 function createEntry (id: string): BackendEntry {
   return { id, service: 's', address: `${id}:1`, dataHall: 'z', slots: 1, draining: false, models: undefined, inMemory: [], onDisk: [] }
 }
 
-describe('servers that had gone before the store came back from an older copy', () => {
+describe('servers that were removed before the store was restored from an older snapshot', () => {
   let clock: ManualClock
   let hub: FakeHub
   let ended: AbortController
@@ -20,8 +20,8 @@
     const fleet = new BackendFleet()
     const directory = new BackendDirectory({ clock, fleet, readSettledMs: () => Infinity })
     const network = hub.createNode({ instance, incarnation: 1, address: '', peerAddress: '', region: '', dataHall: '', leaving: false })
-    const tellAll = shareRevived({ network, directory }, ended.signal)
-    return { fleet, directory, tellAll, network }
+    const sendToAll = shareRevived({ network, directory }, ended.signal)
+    return { fleet, directory, sendToAll, network }
   }
 
   beforeEach(() => {
@@ -32,40 +32,40 @@
 
   afterEach(() => ended.abort())
 
-  const startKnowing = () => {
-    const knowing = start('e1')
-    knowing.directory.put(createEntry('s1'))
-    knowing.directory.remove('s1')
-    knowing.directory.noteRestored(RESTORED)
-    knowing.directory.put(createEntry('s1'), RESTORED)
-    return knowing
+  const startInformed = () => {
+    const informed = start('e1')
+    informed.directory.put(createEntry('s1'))
+    informed.directory.remove('s1')
+    informed.directory.noteRestored(RESTORED_VERSION)
+    informed.directory.put(createEntry('s1'), RESTORED_VERSION)
+    return informed
   }
 
-  it('are told to those that are linked', async () => {
+  it('are sent to linked instances', async () => {
     const other = start('e2')
-    other.directory.put(createEntry('s1'), RESTORED)
-    startKnowing().tellAll()
-    await clock.advance(MESSAGE_MS)
+    other.directory.put(createEntry('s1'), RESTORED_VERSION)
+    startInformed().sendToAll()
+    await clock.advance(MESSAGE_DELAY_MS)
     assert.equal(other.fleet.find('s1'), undefined)
   })
 
-  // Guards against an instance that was linked before it listened, and is told nothing.
-  it('are told to one that begins to follow the store', async () => {
-    startKnowing()
+  // Guards against an instance that misses the message because it was linked before it subscribed.
+  it('are sent to an instance that begins to follow the store', async () => {
+    startInformed()
     const other = start('e2')
-    other.directory.put(createEntry('s1'), RESTORED)
-    await clock.advance(MESSAGE_MS)
+    other.directory.put(createEntry('s1'), RESTORED_VERSION)
+    await clock.advance(MESSAGE_DELAY_MS)
     assert.equal(other.fleet.find('s1'), undefined)
   })
 
-  it('are passed over when a message is of no use', async () => {
+  it('are ignored in invalid messages', async () => {
     const other = start('e2')
-    other.directory.put(createEntry('s1'), RESTORED)
+    other.directory.put(createEntry('s1'), RESTORED_VERSION)
     const peer = start('e3')
     for (const body of [undefined, 'x', {}, { version: 'x', servers: [] }, { version: 1, servers: [['s1']] }, { version: 1, servers: 's1' }]) {
       peer.network.send('e2', { name: 'fleet.revived' }, body)
     }
-    await clock.advance(MESSAGE_MS)
+    await clock.advance(MESSAGE_DELAY_MS)
     assert.notEqual(other.fleet.find('s1'), undefined)
   })
 })
