--- a/placement/planner/src/PlanState.ts
+++ b/placement/planner/src/PlanState.ts
@@ -1,23 +1,23 @@
-import { balanceFlow, createFlow, type Flow } from './balanceFlows.js'
+import { balanceSplit, createEvenSplit, type LoadSplit } from './loadSplits.js'
 import type { PlanGroup, PlanInput, PlanServer, PlanStep } from './planTypes.js'
 
-/** One accelerator while a plan is being made. */
+/** One accelerator with the changes of the plan so far. */
 export interface ServerState extends PlanServer {
   free: number
-  /** Sum of the loads that its copies bring, with each item's load split over its copies as routing would. */
+  /** Sum of the loads of its copies, with each item's load split over its copies as routing would. */
   load: number
   items: Set<string>
 }
 
-const FIRST_ROUNDS = 8
+const INITIAL_BALANCING_ROUNDS = 8
 
-/** What would be resident after the steps so far, and how routing would spread the load over it. */
+/** The placement after the plan's steps so far, and how routing would distribute the load over it. */
 export class PlanState {
   readonly servers = new Map<string, ServerState>()
   readonly groups = new Map<string, PlanGroup>()
   readonly steps: PlanStep[] = []
   private readonly copies = new Map<string, Set<string>>()
-  private readonly flows = new Map<string, Flow>()
+  private readonly splits = new Map<string, LoadSplit>()
   private readonly loads = new Map<string, number>()
   private readonly ready = new Map<string, number>()
   private readonly usedBytes = new Map<string, number>()
@@ -30,10 +30,10 @@
     }
     this.poolBytes = input.servers.reduce((sum, server) => sum + server.capacity, 0)
     for (const copy of input.copies) {
-      this.place(copy.item, copy.server)
+      this.addCopy(copy.item, copy.server)
       if (copy.ready) this.ready.set(copy.item, (this.ready.get(copy.item) ?? 0) + 1)
     }
-    for (let round = 0; round < FIRST_ROUNDS; round++) this.balance(this.flows.keys())
+    for (let round = 0; round < INITIAL_BALANCING_ROUNDS; round++) this.balance(this.splits.keys())
   }
 
   countCopies (item: string): number {
@@ -44,7 +44,7 @@
     return this.ready.get(item) ?? 0
   }
 
-  listHolders (item: string): ServerState[] {
+  listServers (item: string): ServerState[] {
     return [...this.copies.get(item) ?? []].flatMap((id) => this.servers.get(id) ?? [])
   }
 
@@ -52,80 +52,80 @@
     return !server.items.has(group.item) && (group.allowed?.has(server.id) ?? true)
   }
 
-  /** Bytes by which a partner is above its guaranteed share; negative when below. */
-  computeExcess (partner: string): number {
+  /** Bytes by which a partner exceeds its guaranteed share; negative when it is below. */
+  computeQuotaExcess (partner: string): number {
     const quota = this.input.quotas[partner]
-    return (this.usedBytes.get(partner) ?? 0) - (quota ? quota.share * this.poolBytes : this.computeUnguaranteed())
+    return (this.usedBytes.get(partner) ?? 0) - (quota ? quota.share * this.poolBytes : this.computeUnguaranteedBytes())
   }
 
-  /** Whether a partner may take so many more bytes for an extra copy. */
-  mayTake (partner: string, bytes: number): boolean {
-    return this.computeExcess(partner) + bytes <= 0 || (this.input.quotas[partner]?.mayBorrow ?? true)
+  /** Whether a partner's quota allows this many more bytes for an extra copy. */
+  mayUse (partner: string, bytes: number): boolean {
+    return this.computeQuotaExcess(partner) + bytes <= 0 || (this.input.quotas[partner]?.mayBorrow ?? true)
   }
 
   load (group: PlanGroup, server: ServerState, reason: string): void {
     this.steps.push({ action: 'load', item: group.item, server: server.id, reason })
-    this.place(group.item, server.id)
-    this.settle(group)
+    this.addCopy(group.item, server.id)
+    this.balanceAround(group)
   }
 
-  /** The bytes of an unloaded copy are not free yet; nothing else may be planned into them until they are. */
+  /** Does not add to `free`: the memory is available only after the engine has unloaded the copy. */
   unload (group: PlanGroup, server: ServerState, reason: string): void {
     this.steps.push({ action: 'unload', item: group.item, server: server.id, reason })
     this.copies.get(group.item)?.delete(server.id)
     server.items.delete(group.item)
-    this.spread(group)
-    this.settle(group)
+    this.splitEvenly(group)
+    this.balanceAround(group)
     this.usedBytes.set(group.partner, (this.usedBytes.get(group.partner) ?? 0) - group.bytes)
   }
 
-  private place (item: string, serverId: string): void {
+  private addCopy (item: string, serverId: string): void {
     const server = this.servers.get(serverId)
     const group = this.groups.get(item)
     if (!server || !group || server.items.has(item)) return
-    const holders = this.copies.get(item) ?? new Set<string>()
-    this.copies.set(item, holders.add(serverId))
+    const servers = this.copies.get(item) ?? new Set<string>()
+    this.copies.set(item, servers.add(serverId))
     server.items.add(item)
     server.free -= group.bytes
     this.usedBytes.set(group.partner, (this.usedBytes.get(group.partner) ?? 0) + group.bytes)
-    this.spread(group)
+    this.splitEvenly(group)
   }
 
-  /** Spreads an item's load evenly over the copies that it has now. */
-  private spread (group: PlanGroup): void {
-    const before = this.flows.get(group.item)
+  /** Splits an item's load evenly over its current copies. */
+  private splitEvenly (group: PlanGroup): void {
+    const before = this.splits.get(group.item)
     before?.servers.forEach((server, i) => this.addLoad(server, -(before.parts[i] ?? 0)))
-    const flow = createFlow(group, [...this.copies.get(group.item) ?? []])
-    this.flows.set(group.item, flow)
-    flow.servers.forEach((server, i) => this.addLoad(server, flow.parts[i] ?? 0))
+    const split = createEvenSplit(group, [...this.copies.get(group.item) ?? []])
+    this.splits.set(group.item, split)
+    split.servers.forEach((server, i) => this.addLoad(server, split.parts[i] ?? 0))
   }
 
-  /** Lets the load of an item and of its neighbours settle after a change. */
-  private settle (group: PlanGroup): void {
-    const neighbours = this.listHolders(group.item).flatMap((server) => [...server.items])
+  /** Rebalances the load of an item and of all items that share an accelerator with it. */
+  private balanceAround (group: PlanGroup): void {
+    const neighbours = this.listServers(group.item).flatMap((server) => [...server.items])
     this.balance([group.item, ...neighbours, group.item])
   }
 
   private balance (items: Iterable<string>): void {
     for (const item of items) {
-      const flow = this.flows.get(item)
-      if (!flow || flow.servers.length < 2) continue
-      balanceFlow(flow, this.loads)
-      for (const id of flow.servers) this.showLoad(id)
+      const split = this.splits.get(item)
+      if (!split || split.servers.length < 2) continue
+      balanceSplit(split, this.loads)
+      for (const id of split.servers) this.updateLoad(id)
     }
   }
 
   private addLoad (server: string, load: number): void {
     this.loads.set(server, (this.loads.get(server) ?? 0) + load)
-    this.showLoad(server)
+    this.updateLoad(server)
   }
 
-  private showLoad (id: string): void {
+  private updateLoad (id: string): void {
     const server = this.servers.get(id)
     if (server) server.load = this.loads.get(id) ?? 0
   }
 
-  private computeUnguaranteed (): number {
+  private computeUnguaranteedBytes (): number {
     const guaranteed = Object.values(this.input.quotas).reduce((sum, quota) => sum + quota.share, 0)
     return Math.max(0, 1 - guaranteed) * this.poolBytes
   }
--- a/placement/planner/src/Planner.ts
+++ b/placement/planner/src/Planner.ts
@@ -1,6 +1,6 @@
 import type { Plan, PlanInput } from './planTypes.js'
 
-/** A way to decide what is loaded and unloaded next. */
+/** A strategy that decides which copies to load and unload next. */
 export abstract class Planner {
   abstract plan (input: PlanInput): Plan
 }
--- a/placement/planner/src/planTypes.ts
+++ b/placement/planner/src/planTypes.ts
@@ -1,22 +1,22 @@
-/** A model's version with its adapters: what is placed together. */
+/** A model version with its adapters, which are placed together. */
 export interface PlanGroup {
   item: string
   partner: string
-  /** Bytes of one copy: weights, KV floor and adapters. */
+  /** Memory of one copy in bytes: weights, minimum KV cache and adapters. */
   bytes: number
   /** Demand as a share of one accelerator's throughput. */
   load: number
   minCopies: number
   maxCopies: number
-  /** Weight of attainment, from the partner's declared intent. */
+  /** Relative importance of serving this group's demand. */
   weight: number
-  /** Cost of a move as a share of an accelerator's throughput that it must win back. */
+  /** Multiplies the gain that a move must reach; 1 is neutral. */
   movePenalty: number
-  /** Servers that the selectors allow; undefined: all. */
+  /** Ids of the servers that match the selectors; undefined allows all servers. */
   allowed?: ReadonlySet<string>
-  /** Not wanted any more: deleted, or an older version; kept until nothing depends on it. */
+  /** Whether the group is no longer wanted, for example because it was deleted or replaced by a newer version. */
   retiring?: boolean
-  /** For a retiring version: the item that must be ready first. */
+  /** Item that must have a ready copy before this retiring group is unloaded. */
   replacedBy?: string
 }
 
@@ -24,7 +24,7 @@
   id: string
   dataHall: string
   capacity: number
-  /** Bytes that are reserved for copies not listed here, as ones being unloaded. */
+  /** Bytes reserved for copies that are not part of the input, such as copies being unloaded. */
   reserved: number
 }
 
@@ -38,11 +38,11 @@
   groups: readonly PlanGroup[]
   servers: readonly PlanServer[]
   copies: readonly PlanCopy[]
-  /** Guaranteed share of the pool's bytes by partner, and whether idle bytes may be borrowed. */
+  /** By partner: the guaranteed share of the pool's memory (0 to 1), and whether the partner may exceed it. */
   quotas: Readonly<Record<string, { share: number, mayBorrow: boolean }>>
-  /** Loads that may be started now. */
+  /** Maximum number of loads in the plan. */
   maxLoads: number
-  /** Moves for attainment alone that may be started now; reachability is not bound by it. */
+  /** Maximum number of moves that only relieve overloaded accelerators; missing copies are not limited by it. */
   maxMoves: number
 }
 
@@ -50,12 +50,12 @@
   action: 'load' | 'unload'
   item: string
   server: string
-  /** For people: why. */
+  /** Explanation for operators. */
   reason: string
 }
 
 export interface Plan {
   steps: PlanStep[]
-  /** Items that have no copy and for which no room could be found. */
+  /** Items without a copy that fit on no accelerator. */
   unplaced: string[]
 }
--- a/placement/planner/test/planner.test.ts
+++ b/placement/planner/test/planner.test.ts
@@ -12,127 +12,132 @@
   return Array.from({ length: count }, (_, i) => ({ id: `s${i}`, dataHall: `h${i % 2}`, capacity, reserved: 0 }))
 }
 
-function run (input: Partial<PlanInput> & Pick<PlanInput, 'groups' | 'servers'>): Plan {
+function createPlan (input: Partial<PlanInput> & Pick<PlanInput, 'groups' | 'servers'>): Plan {
   return new HysteresisPlanner().plan({ copies: [], quotas: {}, maxLoads: 100, maxMoves: 10, ...input })
 }
 
-function place (item: string, server: string): PlanCopy {
+function buildCopy (item: string, server: string): PlanCopy {
   return { item, server, ready: true }
 }
 
 describe('HysteresisPlanner', () => {
-  it('gives every item a copy, and minimum copies in different data halls', () => {
+  it('gives every item a copy and spreads minimum copies over data halls', () => {
     const servers = buildServers(4)
-    const plan = run({ groups: [buildGroup('a', { minCopies: 2 }), buildGroup('b')], servers })
+    const plan = createPlan({ groups: [buildGroup('a', { minCopies: 2 }), buildGroup('b')], servers })
     const halls = plan.steps.filter((step) => step.item === 'a').map((step) => servers.find((it) => it.id === step.server)?.dataHall)
     assert.deepEqual(halls.sort(), ['h0', 'h1'])
     assert.equal(plan.steps.length, 3)
   })
 
-  it('ends when the bound on loads is reached before an item has its least copies', () => {
+  it('stops at the load limit while items are still below their minimum copies', () => {
     const groups = [buildGroup('a', { minCopies: 2 }), buildGroup('b', { minCopies: 2 }), buildGroup('c')]
-    const plan = run({ groups, servers: buildServers(4), maxLoads: 2 })
+    const plan = createPlan({ groups, servers: buildServers(4), maxLoads: 2 })
     assert.equal(plan.steps.length, 2)
   })
 
-  it('leaves copies where they are while no accelerator is overloaded', () => {
-    const copies = [place('a', 's0'), place('b', 's0')]
-    assert.deepEqual(run({ groups: [buildGroup('a', { load: 0.4 }), buildGroup('b', { load: 0.4 })], servers: buildServers(3), copies }).steps, [])
+  it('moves nothing while no accelerator is overloaded', () => {
+    const copies = [buildCopy('a', 's0'), buildCopy('b', 's0')]
+    assert.deepEqual(createPlan({ groups: [buildGroup('a', { load: 0.4 }), buildGroup('b', { load: 0.4 })], servers: buildServers(3), copies }).steps, [])
   })
 
-  it('keeps copies that are no longer needed until their room is', () => {
-    const copies = [place('a', 's0'), place('a', 's1')]
-    assert.deepEqual(run({ groups: [buildGroup('a', { load: 0 })], servers: buildServers(2), copies }).steps, [])
+  it('keeps surplus copies until their memory is needed', () => {
+    const copies = [buildCopy('a', 's0'), buildCopy('a', 's1')]
+    assert.deepEqual(createPlan({ groups: [buildGroup('a', { load: 0 })], servers: buildServers(2), copies }).steps, [])
   })
 
-  it('adds a copy where an overloaded accelerator is relieved', () => {
-    const plan = run({ groups: [buildGroup('a', { load: 1.6 })], servers: buildServers(2), copies: [place('a', 's0')] })
+  it('adds a copy to relieve an overloaded accelerator', () => {
+    const plan = createPlan({ groups: [buildGroup('a', { load: 1.6 })], servers: buildServers(2), copies: [buildCopy('a', 's0')] })
     assert.deepEqual(plan.steps.map(({ action, server }) => [action, server]), [['load', 's1']])
   })
 
-  it('moves less for a partner to whom moves are dearer', () => {
-    const input = { servers: buildServers(2), copies: [place('a', 's0')] }
-    assert.equal(run({ ...input, groups: [buildGroup('a', { load: 1.6, movePenalty: 1 })] }).steps.length, 1)
-    assert.equal(run({ ...input, groups: [buildGroup('a', { load: 1.6, movePenalty: 8 })] }).steps.length, 0)
+  it('requires a larger gain for a higher move penalty', () => {
+    const input = { servers: buildServers(2), copies: [buildCopy('a', 's0')] }
+    assert.equal(createPlan({ ...input, groups: [buildGroup('a', { load: 1.6, movePenalty: 1 })] }).steps.length, 1)
+    assert.equal(createPlan({ ...input, groups: [buildGroup('a', { load: 1.6, movePenalty: 8 })] }).steps.length, 0)
   })
 
-  it('makes room for an item without a copy by giving up a spare copy, and never a last one', () => {
+  it('evicts a spare copy, never a last one, to make room for an item without a copy', () => {
     const groups = [buildGroup('a', { bytes: 90 }), buildGroup('b', { bytes: 90 }), buildGroup('c', { bytes: 90 })]
-    const copies = [place('a', 's0'), place('a', 's1'), place('b', 's2')]
-    const plan = run({ groups, servers: buildServers(3), copies })
+    const copies = [buildCopy('a', 's0'), buildCopy('a', 's1'), buildCopy('b', 's2')]
+    const plan = createPlan({ groups, servers: buildServers(3), copies })
     assert.equal(plan.steps.length, 1)
     assert.deepEqual([plan.steps[0]?.action, plan.steps[0]?.item], ['unload', 'a'])
   })
 
-  it('says which items have no room anywhere', () => {
-    const plan = run({ groups: [buildGroup('a', { bytes: 90 }), buildGroup('b', { bytes: 90 })], servers: buildServers(1) })
+  it('reports items that fit on no accelerator', () => {
+    const plan = createPlan({ groups: [buildGroup('a', { bytes: 90 }), buildGroup('b', { bytes: 90 })], servers: buildServers(1) })
     assert.equal(plan.unplaced.length, 1)
   })
 
-  it('takes room only from a partner above its guaranteed share', () => {
+  it('evicts copies of another partner only above its guaranteed share', () => {
     const quotas = { p: { share: 0.5, mayBorrow: true }, q: { share: 0.5, mayBorrow: true } }
     const groups = [buildGroup('pa', { bytes: 50, partner: 'p' }), buildGroup('qa', { bytes: 90, partner: 'q' }), buildGroup('qb', { bytes: 50, partner: 'q' })]
-    const within = run({ groups, servers: buildServers(2), quotas, copies: [place('pa', 's0'), place('pa', 's1'), place('qa', 's2')] })
-    assert.ok(within.steps.every((step) => step.action === 'load' || step.item !== 'pa'), 'p is within its share')
-    const above = run({ groups: [...groups, buildGroup('pb', { bytes: 50, partner: 'p' })], servers: buildServers(2), quotas, copies: [place('pa', 's0'), place('pa', 's1'), place('pb', 's0'), place('qa', 's9')] })
+    const within = createPlan({ groups, servers: buildServers(2), quotas, copies: [buildCopy('pa', 's0'), buildCopy('pa', 's1'), buildCopy('qa', 's2')] })
+    assert.ok(within.steps.every((step) => step.action === 'load' || step.item !== 'pa'), 'evicted a copy of p, which is within its share')
+    const above = createPlan({
+      groups: [...groups, buildGroup('pb', { bytes: 50, partner: 'p' })],
+      servers: buildServers(2),
+      quotas,
+      copies: [buildCopy('pa', 's0'), buildCopy('pa', 's1'), buildCopy('pb', 's0'), buildCopy('qa', 's9')],
+    })
     assert.ok(above.steps.some((step) => step.action === 'unload' && step.item === 'pa'))
   })
 
-  it('retires an older version only once the new one is ready', () => {
+  it('unloads an old version only once the new one is ready', () => {
     const groups = [buildGroup('new'), buildGroup('old', { retiring: true, replacedBy: 'new', minCopies: 0, load: 0 })]
-    const before = run({ groups, servers: buildServers(1), copies: [place('old', 's0')] })
+    const before = createPlan({ groups, servers: buildServers(1), copies: [buildCopy('old', 's0')] })
     assert.deepEqual(before.steps.map((step) => `${step.action} ${step.item}`), ['load new'])
-    const after = run({ groups, servers: buildServers(1), copies: [place('old', 's0'), place('new', 's0')] })
+    const after = createPlan({ groups, servers: buildServers(1), copies: [buildCopy('old', 's0'), buildCopy('new', 's0')] })
     assert.deepEqual(after.steps.map((step) => `${step.action} ${step.item}`), ['unload old'])
   })
 
-  it('never plans more bytes onto an accelerator than are free, and never takes a wanted item\'s last copy', async () => {
+  it('never exceeds the free memory of an accelerator or unloads the last copy of a wanted item', async () => {
     const group = fc.record({ bytes: fc.integer({ min: 1, max: 70 }), load: fc.double({ min: 0, max: 3, noNaN: true }), minCopies: fc.integer({ min: 1, max: 3 }), partner: fc.constantFrom('p', 'q') })
     const copy = fc.record({ group: fc.nat(7), server: fc.nat(4) })
-    await checkProperty([fc.array(group, { minLength: 1, maxLength: 8 }), fc.array(copy, { maxLength: 12 })], (drawn, placed) => {
-      const groups = drawn.map((it, i) => buildGroup(`i${i}`, it))
+    await checkProperty([fc.array(group, { minLength: 1, maxLength: 8 }), fc.array(copy, { maxLength: 12 })], (drawnGroups, drawnCopies) => {
+      const groups = drawnGroups.map((it, i) => buildGroup(`i${i}`, it))
       const servers = buildServers(5)
       const copies: PlanCopy[] = []
-      const used = new Map<string, number>()
-      for (const { group: i, server } of placed) {
+      const usedBytes = new Map<string, number>()
+      for (const { group: i, server } of drawnCopies) {
         const item = groups[i % groups.length] as PlanGroup
-        const bytes = (used.get(`s${server}`) ?? 0) + item.bytes
+        const bytes = (usedBytes.get(`s${server}`) ?? 0) + item.bytes
         if (bytes > 100 || copies.some((it) => it.item === item.item && it.server === `s${server}`)) continue
-        used.set(`s${server}`, bytes)
-        copies.push(place(item.item, `s${server}`))
+        usedBytes.set(`s${server}`, bytes)
+        copies.push(buildCopy(item.item, `s${server}`))
       }
-      const plan = run({ groups, servers, copies, quotas: { p: { share: 0.5, mayBorrow: true }, q: { share: 0.5, mayBorrow: false } } })
-      checkPlan(plan, groups, copies, used)
+      const plan = createPlan({ groups, servers, copies, quotas: { p: { share: 0.5, mayBorrow: true }, q: { share: 0.5, mayBorrow: false } } })
+      checkPlan(plan, groups, copies, usedBytes)
     }, 300)
   })
 })
 
-function checkPlan (plan: Plan, groups: readonly PlanGroup[], copies: readonly PlanCopy[], used: Map<string, number>): void {
-  const left = new Map(groups.map((group) => [group.item, copies.filter((copy) => copy.item === group.item).length]))
+function checkPlan (plan: Plan, groups: readonly PlanGroup[], copies: readonly PlanCopy[], usedBytes: Map<string, number>): void {
+  const remaining = new Map(groups.map((group) => [group.item, copies.filter((copy) => copy.item === group.item).length]))
   for (const step of plan.steps) {
     const group = groups.find((it) => it.item === step.item) as PlanGroup
     if (step.action === 'unload') {
-      left.set(step.item, (left.get(step.item) ?? 0) - 1)
-      assert.ok((left.get(step.item) ?? 0) >= 1, `${step.item} lost its last copy`)
+      remaining.set(step.item, (remaining.get(step.item) ?? 0) - 1)
+      assert.ok((remaining.get(step.item) ?? 0) >= 1, `last copy of ${step.item} was unloaded`)
       continue
     }
-    // Bytes of unloaded copies are not free until the engine says so.
-    used.set(step.server, (used.get(step.server) ?? 0) + group.bytes)
-    assert.ok((used.get(step.server) ?? 0) <= 100, `${step.server} would hold ${used.get(step.server)} of 100`)
+    // Memory of unloaded copies is not free until the engine has confirmed it.
+    usedBytes.set(step.server, (usedBytes.get(step.server) ?? 0) + group.bytes)
+    assert.ok((usedBytes.get(step.server) ?? 0) <= 100, `${step.server} has ${usedBytes.get(step.server)} of 100 bytes in use`)
   }
 }
 
 describe('computeAttainment', () => {
-  it('is whole when every item has room', () => {
+  it('is 1 when no accelerator is overloaded', () => {
     assert.equal(computeAttainment([buildGroup('a', { load: 0.9 })], new Map([['a', ['s0']]])), 1)
   })
 
-  it('splits an item\'s load over its copies', () => {
+  it('balances the load of an item over its copies', () => {
     const groups = [buildGroup('a', { load: 1.5 }), buildGroup('b', { load: 0.5 })]
     assert.ok(computeAttainment(groups, new Map([['a', ['s0', 's1']], ['b', ['s1']]])) > 0.999)
   })
 
-  it('counts an item without a copy as not attained', () => {
+  it('counts demand for an item without a copy as not served', () => {
     assert.equal(computeAttainment([buildGroup('a', { load: 1 }), buildGroup('b', { load: 1 })], new Map([['a', ['s0']]])), 0.5)
   })
 })
