--- a/placement/ledger/src/ShardLease.ts
+++ b/placement/ledger/src/ShardLease.ts
@@ -9,65 +9,64 @@
   clock: Clock
   store: ObjectStore
   shard: string
-  /** Name of the holder; contains what changes when the process restarts. */
+  /** Name of the holder; differs between process runs of an instance. */
   holder: string
   leaseMs: number
-  /** Longest time that an order may take to reach an engine. */
+  /** Maximum time from sending an order until it reaches its engine. */
   orderDelayMs: number
   createOperation: () => string
-  /** The whole system starts for the first time, so that nobody can hold the lease without a record of it. */
+  /** Whether the whole system starts for the first time, so that no instance can hold the lease without a stored record. */
   isFirstStart?: boolean
 }
 
-/** How a lease came free. */
+/** How the lease became available to its holder. */
 export const LeaseOrigins = { EXPIRED: 'expired', RELEASED: 'released', HANDED_OVER: 'handed-over' } as const
 export type LeaseOrigin = typeof LeaseOrigins[keyof typeof LeaseOrigins]
 
-// The lease counts from before the write that renewed it, and clocks of two machines run this much apart at most.
-const CLOCK_DRIFT = 0.05
+// Maximum difference in speed between the clocks of two machines, as a share.
+const MAX_CLOCK_DRIFT = 0.05
 
 /**
- * The lease of one placement shard together with its ledger. Every write of the ledger is a conditional update of the
- * one object that also names the holder, so that a former holder can change nothing. A holder counts its lease from
- * before the write was sent; a successor counts it from when it first saw the write, adds the longest delay of an
- * order, and so never overlaps with orders of the former one.
+ * The lease of one placement shard, stored in one object with the shard's ledger and written by conditional updates
+ * only. The holder counts its lease from before the write was sent; a successor counts from when it first saw that
+ * write and adds the maximum order delay, so that orders of the two never overlap.
  *
- * A store that comes back from an older copy may have lost the record of the holder. Nobody takes the lease then before a holder that the store has
- * forgotten would have ended; the holder itself, whose right goes on, writes its record again, with its fence.
+ * After the store was restored from an older snapshot, no instance acquires the lease until any holder missing from
+ * the snapshot must have stopped. Such a holder may write its record again, with the same fence.
  */
 export class ShardLease {
-  /** How this instance came to the lease. */
+  /** How this instance acquired the lease. */
   takenFrom: LeaseOrigin = LeaseOrigins.EXPIRED
   private record: ShardRecord | undefined
   private version = 0
   private validUntil = -Infinity
-  private ordersFrom = Infinity
-  /** How often the lease was given up or lost; a write that was on its way then must not bring it back. */
-  private drops = 0
-  private seen: { version: number, since: number } | undefined
-  /** Monotone time until which a holder may order whose record the store has lost. */
-  private forgottenUntil = -Infinity
+  private ordersAllowedFrom = Infinity
+  /** Counts how often the lease was released or lost, so that a write in flight at that time does not restore it. */
+  private dropCount = 0
+  private observed: { version: number, since: number } | undefined
+  /** Monotonic time until which a holder whose record was lost by the store may send orders. */
+  private lostHolderUntil = -Infinity
 
   constructor (private readonly opts: ShardLeaseOptions) {
     opts.store.epochs.changes.subscribe(({ former }) => {
-      if (former !== undefined || !opts.isFirstStart) this.holdOff()
+      if (former !== undefined || !opts.isFirstStart) this.setLostHolderDeadline()
     })
   }
 
-  /** True while the own lease runs by the own clock. */
+  /** Whether the lease is held and has not expired by the local clock. */
   get isHeld (): boolean {
     return this.record !== undefined && this.opts.clock.readTime() < this.validUntil
   }
 
-  /** The lease was held and no other holder is known, though it may have run out. */
+  /** Whether the lease was acquired and is not known to be lost, though it may have expired. */
   get isKept (): boolean {
     return this.record !== undefined
   }
 
-  /** True when an order sent now reaches its engine before the lease can go to another, and after any former holder's. */
+  /** Whether an order sent now arrives after those of former holders and before another instance can acquire the lease. */
   get mayOrder (): boolean {
     const now = this.opts.clock.readTime()
-    return this.isHeld && now >= this.ordersFrom && now + this.opts.orderDelayMs < this.validUntil
+    return this.isHeld && now >= this.ordersAllowedFrom && now + this.opts.orderDelayMs < this.validUntil
   }
 
   get fence (): number {
@@ -79,70 +78,70 @@
     return this.version
   }
 
-  /** The holder told that it had written this version of the record; its lease counts from before now, if the version still stands when it is read. */
+  /** Records that the holder announced this version of its record; if it is still current when read, the lease counts from now at the latest. */
   noteWritten (version: number): void {
-    if (this.seen === undefined || version > this.seen.version) this.seen = { version, since: this.opts.clock.readTime() }
+    if (this.observed === undefined || version > this.observed.version) this.observed = { version, since: this.opts.clock.readTime() }
   }
 
-  /** Monotone time after which no order of a former holder can arrive any more. */
-  get quietSince (): number {
-    return this.ordersFrom
+  /** Monotonic time after which no order of a former holder can arrive. */
+  get formerOrdersUntil (): number {
+    return this.ordersAllowedFrom
   }
 
-  /** The record as last written; undefined when the lease is not held. */
+  /** Returns the record as last written; undefined while the lease is not held. */
   readRecord (): ShardRecord | undefined {
     return this.isHeld ? this.record : undefined
   }
 
   /**
-   * Tries to become the holder; false while another's lease may run or the object API does not answer. A holder that said
-   * itself that it orders no more need not be waited for; whoever takes from it must know its newest orders.
+   * Tries to acquire the lease; false while another holder's lease may be valid or the object store does not answer. The
+   * lease of `handedOver` is acquired at once: the caller knows that holder's orders and that it sends no more.
    */
   async tryTake (handedOver?: { holder: string, fence: number }): Promise<boolean> {
     const read = await this.opts.store.readObject(this.key)
     if (read.isErr()) return false
-    const standing = read.value?.value as ShardRecord | undefined
+    const stored = read.value?.value as ShardRecord | undefined
     this.version = read.value?.version ?? 0
-    const isHandedOver = standing !== undefined && standing.holder === handedOver?.holder && standing.fence === handedOver.fence
-    const isFree = standing === undefined || isHandedOver || this.isFree(standing)
-    if (!isFree || this.mayBeForgotten) return false
-    const next: ShardRecord = { ...standing ?? createShardRecord(this.opts.shard), holder: this.opts.holder, leaseMs: this.opts.leaseMs, released: false }
+    const isHandedOver = stored !== undefined && stored.holder === handedOver?.holder && stored.fence === handedOver.fence
+    const isFree = stored === undefined || isHandedOver || this.isFree(stored)
+    if (!isFree || this.mayHaveLostHolder) return false
+    const next: ShardRecord = { ...stored ?? createShardRecord(this.opts.shard), holder: this.opts.holder, leaseMs: this.opts.leaseMs, released: false }
     next.fence = computeNextFence(next.fence, this.version === 0 ? buildVersion(this.epoch, 0) : this.version)
     this.record = undefined
     const written = await this.write(next)
     if (written.isErr()) return false
-    // The store may have begun another epoch while the record was on its way.
-    if (this.mayBeForgotten) {
+    // The store may have begun another epoch during the write.
+    if (this.mayHaveLostHolder) {
       this.drop()
       return false
     }
-    this.ordersFrom = this.opts.clock.readTime() + (isHandedOver ? 0 : this.opts.orderDelayMs)
-    this.takenFrom = isHandedOver ? LeaseOrigins.HANDED_OVER : standing?.released ? LeaseOrigins.RELEASED : LeaseOrigins.EXPIRED
+    this.ordersAllowedFrom = this.opts.clock.readTime() + (isHandedOver ? 0 : this.opts.orderDelayMs)
+    this.takenFrom = isHandedOver ? LeaseOrigins.HANDED_OVER : stored?.released ? LeaseOrigins.RELEASED : LeaseOrigins.EXPIRED
     return true
   }
 
   /**
-   * Renews the lease by writing the record as it stands; also one that ran out, when nobody has taken it since. In another epoch of the store that can't be
-   * told of one that ran out, unless the holder knows by other means (`isHoldingOn`) that nobody could take it.
+   * Renews the lease by writing the record unchanged; also after it expired, if no other instance has acquired it. In a
+   * new epoch of the store, an expired lease is renewed only if `isHoldingOn` confirms that no other instance can hold it.
    */
   async renew (isHoldingOn: () => boolean = () => false): Promise<Result<void, PulleystackError>> {
-    if (!this.record) return err(createLost(this.opts.shard))
+    if (!this.record) return err(createLostError(this.opts.shard))
     const renewed = await this.write(structuredClone(this.record))
-    if (renewed.isOk() || !this.record || !this.isOfFormerEpoch) return renewed
-    if (this.isHeld || isHoldingOn()) return this.writeAgain()
+    if (renewed.isOk() || !this.record || !this.isFromFormerEpoch) return renewed
+    if (this.isHeld || isHoldingOn()) return this.writeToNewEpoch()
     this.drop()
     return renewed
   }
 
-  /** Changes the record; on failure nothing is changed here, and after a conflict the lease is gone. */
+  /** Changes the record. On failure the local record stays as it was, and after a conflict the lease is lost. */
   async update (change: (record: ShardRecord) => void): Promise<Result<void, PulleystackError>> {
-    if (!this.record || !this.isHeld) return err(createLost(this.opts.shard))
+    if (!this.record || !this.isHeld) return err(createLostError(this.opts.shard))
     const next = structuredClone(this.record)
     change(next)
     return this.write(next)
   }
 
-  /** Gives the lease up after the last order. */
+  /** Releases the lease. No order may be sent afterwards. */
   async release (): Promise<void> {
     if (this.isHeld) await this.update((record) => {
       record.released = true
@@ -150,108 +149,108 @@
     this.drop()
   }
 
-  /** Forgets the lease without a word to the object API, as when that can't be reached. */
+  /** Drops the lease locally, without writing to the object store. */
   abandon (): void {
     this.drop()
   }
 
-  /** Writes the own record into the epoch that the store has begun, unless another holder has come there. */
-  private async writeAgain (): Promise<Result<void, PulleystackError>> {
-    const { drops } = this
+  /** Writes the record into the store's new epoch, unless another holder has already written there. */
+  private async writeToNewEpoch (): Promise<Result<void, PulleystackError>> {
+    const { dropCount } = this
     const read = await this.opts.store.readObject(this.key)
     if (read.isErr()) return err(read.error)
-    if (!this.record || this.drops !== drops) return err(createLost(this.opts.shard))
-    const standing = read.value?.value as ShardRecord | undefined
-    if (standing && standing.fence >= computeFirstFence(this.epoch)) {
+    if (!this.record || this.dropCount !== dropCount) return err(createLostError(this.opts.shard))
+    const stored = read.value?.value as ShardRecord | undefined
+    if (stored && stored.fence >= computeFirstFence(this.epoch)) {
       this.drop()
-      return err(createLost(this.opts.shard))
+      return err(createLostError(this.opts.shard))
     }
     this.version = read.value?.version ?? 0
     return this.write(structuredClone(this.record))
   }
 
-  /** Epoch of the store, as far as it is known. */
+  /** Newest known epoch of the store. */
   private get epoch (): number {
     return this.opts.store.epochs.newest ?? 0
   }
 
-  /** The record was written in an epoch that has ended. */
-  private get isOfFormerEpoch (): boolean {
+  /** Whether the record was last written or read in an earlier epoch. */
+  private get isFromFormerEpoch (): boolean {
     return readEpoch(this.version) < this.epoch
   }
 
-  /** A holder may order whose record the store has lost. */
-  private get mayBeForgotten (): boolean {
-    return this.opts.clock.readTime() < this.forgottenUntil
+  /** Whether a holder whose record was lost by the store may still send orders. */
+  private get mayHaveLostHolder (): boolean {
+    return this.opts.clock.readTime() < this.lostHolderUntil
   }
 
-  private holdOff (): void {
-    this.forgottenUntil = this.opts.clock.readTime() + this.computeWait(this.opts.leaseMs)
+  private setLostHolderDeadline (): void {
+    this.lostHolderUntil = this.opts.clock.readTime() + this.computeExpiryMs(this.opts.leaseMs)
   }
 
-  /** Milliseconds after which a holder that was last seen to write can't order any more. */
-  private computeWait (leaseMs: number): number {
-    return leaseMs * (1 + CLOCK_DRIFT) + this.opts.orderDelayMs
+  /** Milliseconds after its last observed write until a holder can no longer send orders that arrive. */
+  private computeExpiryMs (leaseMs: number): number {
+    return leaseMs * (1 + MAX_CLOCK_DRIFT) + this.opts.orderDelayMs
   }
 
   private drop (): void {
-    this.drops++
+    this.dropCount++
     this.record = undefined
     this.validUntil = -Infinity
-    this.ordersFrom = Infinity
-    this.seen = undefined
+    this.ordersAllowedFrom = Infinity
+    this.observed = undefined
   }
 
   private get key (): string {
     return `placement/shard/${this.opts.shard}`
   }
 
-  private isFree (standing: ShardRecord): boolean {
-    // A record with a fence of a former epoch may be a write of that time, done late over the record of a present holder.
-    const isOfThisEpoch = standing.fence >= computeFirstFence(readEpoch(this.version))
-    if (isOfThisEpoch && (standing.released || standing.holder === this.opts.holder)) return true
+  private isFree (stored: ShardRecord): boolean {
+    // A record with a fence of an earlier epoch may be a delayed write that replaced the current holder's record.
+    const isFromThisEpoch = stored.fence >= computeFirstFence(readEpoch(this.version))
+    if (isFromThisEpoch && (stored.released || stored.holder === this.opts.holder)) return true
     const now = this.opts.clock.readTime()
-    if (this.seen?.version !== this.version) this.seen = { version: this.version, since: now }
-    return now - this.seen.since > this.computeWait(standing.leaseMs)
+    if (this.observed?.version !== this.version) this.observed = { version: this.version, since: now }
+    return now - this.observed.since > this.computeExpiryMs(stored.leaseMs)
   }
 
   private async write (next: ShardRecord): Promise<Result<void, PulleystackError>> {
     const sentAt = this.opts.clock.readTime()
-    const { drops } = this
+    const { dropCount } = this
     next.operation = this.opts.createOperation()
     const written = await this.opts.store.writeObject(this.key, next, this.version)
-    const settled = written.isErr() && written.error.code === 'STORE_OUTCOME_UNKNOWN' ? await this.readBack(next.operation) : written
-    if (settled.isErr()) {
-      this.noteFailed(settled.error)
-      return err(settled.error)
+    const outcome = written.isErr() && written.error.code === 'STORE_OUTCOME_UNKNOWN' ? await this.checkWritten(next.operation) : written
+    if (outcome.isErr()) {
+      this.handleWriteError(outcome.error)
+      return err(outcome.error)
     }
-    if (this.drops !== drops) return err(createLost(this.opts.shard))
-    if (this.version !== 0 && readEpoch(settled.value) !== readEpoch(this.version)) {
-      this.holdOff()
-      return err(new PulleystackError('STORE_RESTORED', `The ledger of ${this.opts.shard} was written in another epoch than it was meant for`))
+    if (this.dropCount !== dropCount) return err(createLostError(this.opts.shard))
+    if (this.version !== 0 && readEpoch(outcome.value) !== readEpoch(this.version)) {
+      this.setLostHolderDeadline()
+      return err(new PulleystackError('STORE_RESTORED', `The ledger of shard ${this.opts.shard} was written in a different store epoch than intended`))
     }
-    this.version = settled.value
+    this.version = outcome.value
     this.record = next
     this.validUntil = sentAt + this.opts.leaseMs
     return ok(undefined)
   }
 
-  private noteFailed (cause: PulleystackError): void {
-    // The record of a holder that came in the new epoch may have been overwritten: it orders until its next renewal.
-    if (cause.code === 'STORE_RESTORED') this.holdOff()
-    if (cause.code === 'STORE_CONFLICT' && !this.isOfFormerEpoch) this.drop()
+  private handleWriteError (cause: PulleystackError): void {
+    // The write may have replaced the record of a holder in the new epoch, which sends orders until its next renewal.
+    if (cause.code === 'STORE_RESTORED') this.setLostHolderDeadline()
+    if (cause.code === 'STORE_CONFLICT' && !this.isFromFormerEpoch) this.drop()
   }
 
-  private async readBack (operation: string): Promise<Result<number, PulleystackError>> {
+  private async checkWritten (operation: string): Promise<Result<number, PulleystackError>> {
     const read = await this.opts.store.readObject(this.key)
-    if (read.isErr()) return err(new PulleystackError('STORE_OUTCOME_UNKNOWN', 'Whether the ledger was written is not known', { cause: read.error }))
-    const standing = read.value?.value as ShardRecord | undefined
-    if (standing?.operation === operation) return ok(read.value?.version ?? 0)
-    if ((read.value?.version ?? 0) !== this.version) return err(createLost(this.opts.shard))
-    return err(new PulleystackError('STORE_OUTCOME_UNKNOWN', 'A write of the ledger was lost or is late'))
+    if (read.isErr()) return err(new PulleystackError('STORE_OUTCOME_UNKNOWN', 'It is unknown whether the ledger was written', { cause: read.error }))
+    const stored = read.value?.value as ShardRecord | undefined
+    if (stored?.operation === operation) return ok(read.value?.version ?? 0)
+    if ((read.value?.version ?? 0) !== this.version) return err(createLostError(this.opts.shard))
+    return err(new PulleystackError('STORE_OUTCOME_UNKNOWN', 'A write of the ledger was lost or is delayed'))
   }
 }
 
-function createLost (shard: string): PulleystackError {
-  return new PulleystackError('STORE_CONFLICT', `Shard ${shard} went to another holder`)
+function createLostError (shard: string): PulleystackError {
+  return new PulleystackError('STORE_CONFLICT', `The lease of shard ${shard} is no longer held`)
 }
--- a/placement/ledger/src/fences.ts
+++ b/placement/ledger/src/fences.ts
@@ -1,20 +1,19 @@
 import { readEpoch, readRevision } from '@pulleystack/backend.interfaces'
 
-/** Fences of one epoch of the store. */
 const FENCES_PER_EPOCH = 2 ** 20
 
-/** Least fence that is given out in an epoch; 0 in the first one. */
+/** Returns the lower bound of an epoch's fences; 0 in the first epoch of the store. */
 export function computeFirstFence (epoch: number): number {
   return epoch * FENCES_PER_EPOCH
 }
 
 /**
- * The fence of a new holder, higher than that of the record which it takes over and than any that was given out before: also in a history that the store
- * has lost, and in a record that was overwritten, since both have lower versions.
+ * Computes the fence of a new holder, higher than any issued before. It is also derived from the record's version, because
+ * fences issued before a restore of the store, or in a record that was overwritten, may be missing from the current record.
  */
-export function computeNextFence (standing: number, version: number): number {
+export function computeNextFence (current: number, version: number): number {
   const epoch = readEpoch(version)
-  if (epoch === 0) return standing + 1
-  const ofVersion = computeFirstFence(epoch) + Math.min(readRevision(version), FENCES_PER_EPOCH - 1)
-  return Math.max(standing, ofVersion) + 1
+  if (epoch === 0) return current + 1
+  const versionFence = computeFirstFence(epoch) + Math.min(readRevision(version), FENCES_PER_EPOCH - 1)
+  return Math.max(current, versionFence) + 1
 }
--- a/placement/ledger/src/index.ts
+++ b/placement/ledger/src/index.ts
@@ -1,4 +1,14 @@
-export { EntryStates, computeCommitted, computeFree, createShardRecord, findEntry, reserveEntry, removeEntry, setEntryState, findEntryHolders } from './shardRecord.js'
+export {
+  EntryStates,
+  computeReservedBytes,
+  computeFreeBytes,
+  createShardRecord,
+  findEntry,
+  reserveEntry,
+  removeEntry,
+  setEntryState,
+  findEntries,
+} from './shardRecord.js'
 export type { EntryState, LedgerEntry, ServerLedger, ShardRecord } from './shardRecord.js'
 export { LeaseOrigins, ShardLease } from './ShardLease.js'
 export type { LeaseOrigin, ShardLeaseOptions } from './ShardLease.js'
--- a/placement/ledger/src/shardMap.ts
+++ b/placement/ledger/src/shardMap.ts
@@ -1,14 +1,14 @@
 import { findOwner } from '@pulleystack/core.hashing'
 import type { ObjectStore } from '@pulleystack/backend.interfaces'
 
-/** How many shards each region's accelerators form. Kept in the object API, so that all instances use one number. */
+/** Number of shards in each region, stored in the object store so that all instances agree on it. */
 export interface ShardMap {
   shardsPerRegion: number
 }
 
 const KEY = 'placement/map'
 
-/** Reads the map; the first instance of all writes it. Undefined while the object API does not answer. */
+/** Reads the shard map, and writes it if there is none. Undefined while the object store does not answer. */
 export async function readShardMap (store: ObjectStore, shardsPerRegion: number): Promise<ShardMap | undefined> {
   const read = await store.readObject(KEY)
   if (read.isErr()) return undefined
@@ -22,7 +22,7 @@
   return [...new Set(regions)].flatMap((region) => Array.from({ length: map.shardsPerRegion }, (_, i) => `${region}-${i}`))
 }
 
-/** The one shard whose holder may order an accelerator; does not depend on which others there are. */
+/** Returns the shard whose holder controls an accelerator; independent of which other accelerators exist. */
 export function chooseShard (map: ShardMap, region: string, server: string): string {
   return findOwner(`shard-of/${server}`, listShards(map, [region])) as string
 }
--- a/placement/ledger/src/shardRecord.ts
+++ b/placement/ledger/src/shardRecord.ts
@@ -1,14 +1,14 @@
 import { PulleystackError } from '@pulleystack/core.errors'
 import { err, ok, type Result } from 'neverthrow'
 
-/** Stages of a copy. Its bytes are reserved in every one of them. */
+/** States of a copy. Its memory is reserved in all of them. */
 export const EntryStates = {
-  /** A load was or will be ordered; whether the engine acted is not known. */
+  /** A load was or will be ordered; whether the engine has acted on it is unknown. */
   LOADING: 'loading',
   READY: 'ready',
-  /** Gets no new work and waits for what is in flight. */
+  /** Receives no new requests and waits for those in flight. */
   DRAINING: 'draining',
-  /** An unload was ordered; whether the engine acted is not known. */
+  /** An unload was or will be ordered; whether the engine has acted on it is unknown. */
   UNLOADING: 'unloading',
 } as const
 export type EntryState = typeof EntryStates[keyof typeof EntryStates]
@@ -16,33 +16,33 @@
 /** One copy of an item on one accelerator. */
 export interface LedgerEntry {
   item: string
-  /** Bytes that the engine will hold: weights and, for models, the KV floor. */
+  /** Memory of the copy in bytes: weights and, for models, the minimum KV cache. */
   bytes: number
   weights: string
   state: EntryState
-  /** Newest order for this copy. */
+  /** Id of the newest order for this copy. */
   order?: string
   sequence?: number
 }
 
-/** One accelerator. */
+/** Capacity and copies of one accelerator. */
 export interface ServerLedger {
   capacity: number
   entries: LedgerEntry[]
 }
 
-/** The object of one placement shard: its lease and its ledger stand and change together. */
+/** The stored object of one placement shard; holds lease and ledger, so that they change together. */
 export interface ShardRecord {
   shard: string
   holder: string
-  /** Counts holders; grows whenever the lease goes to another life of an instance. */
+  /** Fencing token; increases whenever another instance or process run acquires the lease. */
   fence: number
   leaseMs: number
-  /** Set by a holder that stops and has sent its last order. */
+  /** Set by a holder that has stopped and sent its last order. */
   released: boolean
-  /** Newest sequence number given to an order. */
+  /** Highest sequence number assigned to an order. */
   sequence: number
-  /** Id of the newest write, by which a lost answer is recognised. */
+  /** Id of the newest write; shows whether a write whose response was lost took effect. */
   operation: string
   servers: Record<string, ServerLedger>
 }
@@ -51,37 +51,37 @@
   return { shard, holder: '', fence: 0, leaseMs: 0, released: true, sequence: 0, operation: '', servers: {} }
 }
 
-/** Bytes reserved on an accelerator, whatever stage the copies are in. */
-export function computeCommitted (ledger: ServerLedger): number {
+/** Sums the bytes reserved on an accelerator by copies in any state. */
+export function computeReservedBytes (ledger: ServerLedger): number {
   return ledger.entries.reduce((sum, entry) => sum + entry.bytes, 0)
 }
 
-export function computeFree (ledger: ServerLedger): number {
-  return ledger.capacity - computeCommitted(ledger)
+export function computeFreeBytes (ledger: ServerLedger): number {
+  return ledger.capacity - computeReservedBytes(ledger)
 }
 
 export function findEntry (record: ShardRecord, server: string, item: string): LedgerEntry | undefined {
   return record.servers[server]?.entries.find((entry) => entry.item === item)
 }
 
-/** Servers with a copy of an item, in any stage. */
-export function findEntryHolders (record: ShardRecord, item: string): { server: string, entry: LedgerEntry }[] {
+/** Finds the servers with a copy of an item, in any state. */
+export function findEntries (record: ShardRecord, item: string): { server: string, entry: LedgerEntry }[] {
   return Object.entries(record.servers).flatMap(([server, ledger]) => ledger.entries.filter((entry) => entry.item === item).map((entry) => ({ server, entry })))
 }
 
-/** Reserves an entry's bytes; MEMORY_EXCEEDED when they don't fit beside all that is reserved. */
+/** Reserves the memory of an entry; MEMORY_EXCEEDED if it does not fit, or the entry exists, or the server is unknown. */
 export function reserveEntry (record: ShardRecord, server: string, entry: LedgerEntry): Result<void, PulleystackError> {
   const ledger = record.servers[server]
   if (!ledger) return err(new PulleystackError('MEMORY_EXCEEDED', `Server ${server} is not in shard ${record.shard}`))
-  if (ledger.entries.some((it) => it.item === entry.item)) return err(new PulleystackError('MEMORY_EXCEEDED', `${entry.item} is on ${server} already`))
-  if (computeFree(ledger) < entry.bytes) {
-    return err(new PulleystackError('MEMORY_EXCEEDED', `${entry.item} needs ${entry.bytes} bytes; ${server} has ${computeFree(ledger)} that nothing has reserved`))
+  if (ledger.entries.some((it) => it.item === entry.item)) return err(new PulleystackError('MEMORY_EXCEEDED', `${entry.item} is already on ${server}`))
+  if (computeFreeBytes(ledger) < entry.bytes) {
+    return err(new PulleystackError('MEMORY_EXCEEDED', `${entry.item} needs ${entry.bytes} bytes; ${server} has ${computeFreeBytes(ledger)} unreserved`))
   }
   ledger.entries.push(entry)
   return ok(undefined)
 }
 
-/** Gives an entry's bytes back. Only after the engine itself has shown that it does not hold them. */
+/** Removes an entry and releases its memory; call only after the engine has confirmed that the copy is gone. */
 export function removeEntry (record: ShardRecord, server: string, item: string): void {
   const ledger = record.servers[server]
   if (ledger) ledger.entries = ledger.entries.filter((entry) => entry.item !== item)
--- a/placement/ledger/test/ledger.test.ts
+++ b/placement/ledger/test/ledger.test.ts
@@ -4,7 +4,17 @@
 import { MemoryObjectStore } from '@pulleystack/emulator.stand-ins'
 import { checkProperty } from '@pulleystack/tools.testing'
 import fc from 'fast-check'
-import { chooseShard, computeCommitted, createShardRecord, EntryStates, listShards, readShardMap, removeEntry, reserveEntry, ShardLease } from '../src/index.js'
+import {
+  chooseShard,
+  computeReservedBytes,
+  createShardRecord,
+  EntryStates,
+  listShards,
+  readShardMap,
+  removeEntry,
+  reserveEntry,
+  ShardLease,
+} from '../src/index.js'
 
 const LEASE_MS = 3_000
 const ORDER_DELAY_MS = 500
@@ -26,7 +36,7 @@
 }
 
 describe('reserveEntry', () => {
-  it('never lets reservations exceed the accelerator, in any order of reserving and removing', async () => {
+  it('never exceeds the capacity, in any order of reserving and removing', async () => {
     const action = fc.record({ item: fc.constantFrom('a', 'b', 'c', 'd', 'e'), bytes: fc.integer({ min: 1, max: 60 }), remove: fc.boolean() })
     await checkProperty([fc.array(action, { maxLength: 60 })], (actions) => {
       const record = createShardRecord('s')
@@ -34,7 +44,7 @@
       for (const { item, bytes, remove } of actions) {
         if (remove) removeEntry(record, 'x', item)
         else reserveEntry(record, 'x', { item, bytes, weights: '', state: EntryStates.LOADING })
-        assert.ok(computeCommitted(record.servers.x) <= 100)
+        assert.ok(computeReservedBytes(record.servers.x) <= 100)
         assert.equal(new Set(record.servers.x.entries.map((entry) => entry.item)).size, record.servers.x.entries.length)
       }
     }, 200)
@@ -42,12 +52,12 @@
 })
 
 describe('ShardLease', () => {
-  it('goes to one holder only', async () => {
+  it('is acquired by one holder only', async () => {
     const { one, two } = createLeases()
     assert.deepEqual(await Promise.all([one.tryTake(), two.tryTake()]), [true, false])
   })
 
-  it('is not brought back by a renewal that was on its way when it was given up', async () => {
+  it('is not restored by a renewal that was in flight when it was abandoned', async () => {
     const { one, two } = createLeases()
     await one.tryTake()
     const renewing = one.renew()
@@ -58,7 +68,7 @@
     assert.equal(one.mayOrder, false)
   })
 
-  it('goes to a successor only after the lease and the longest delay of an order', async () => {
+  it('is acquired by a successor only after the lease and the maximum order delay', async () => {
     const { clock, one, two } = createLeases()
     await one.tryTake()
     await two.tryTake()
@@ -69,7 +79,7 @@
     assert.ok(two.fence > one.fence)
   })
 
-  it('lets its holder send no order that could arrive after its end', async () => {
+  it('allows no order that could arrive after its expiry', async () => {
     const { clock, one } = createLeases()
     await one.tryTake()
     assert.equal(one.mayOrder, false, 'orders of a former holder may still arrive')
@@ -80,7 +90,7 @@
     assert.equal(one.mayOrder, false)
   })
 
-  it('refuses the former holder\'s writes after a pause', async () => {
+  it('rejects writes of a former holder after a pause', async () => {
     const { clock, one, two } = createLeases()
     await one.tryTake()
     await two.tryTake()
@@ -90,7 +100,7 @@
     assert.equal(two.isHeld, true)
   })
 
-  it('recognises its own write when the answer was lost', async () => {
+  it('accepts its own write when the response was lost', async () => {
     const { store, one } = createLeases()
     await one.tryTake()
     store.faults.loseAnswers = 1
@@ -100,7 +110,7 @@
     assert.equal(one.readRecord()?.sequence, 7)
   })
 
-  it('changes nothing here when a write was lost on its way', async () => {
+  it('leaves the local record unchanged when a write was lost', async () => {
     const { store, one } = createLeases()
     await one.tryTake()
     store.faults.loseWrites = 1
@@ -111,7 +121,7 @@
     assert.equal((await one.renew()).isOk(), true)
   })
 
-  it('can be handed over at once', async () => {
+  it('can be acquired at once after a release', async () => {
     const { one, two } = createLeases()
     await one.tryTake()
     await one.release()
@@ -119,14 +129,14 @@
   })
 })
 
-describe('the shard map', () => {
-  it('is the same for all, whatever each would have chosen', async () => {
+describe('shard map', () => {
+  it('is the same for all instances, even with different settings', async () => {
     const { store } = createLeases()
     const maps = await Promise.all([readShardMap(store, 2), readShardMap(store, 5)])
     assert.deepEqual(maps[0], maps[1])
   })
 
-  it('keeps a server in its shard whatever other servers come and go', () => {
+  it('always assigns a server to the same shard', () => {
     const map = { shardsPerRegion: 4 }
     assert.ok(listShards(map, ['r']).includes(chooseShard(map, 'r', 'engine-7')))
     assert.equal(chooseShard(map, 'r', 'engine-7'), chooseShard(map, 'r', 'engine-7'))
--- a/placement/mover/src/ShardKeeper.ts
+++ b/placement/mover/src/ShardController.ts
@@ -8,10 +8,10 @@
 import { applyReconciliation, drainGroup, hasChanges, listInState, listMissingAdapters, reserveGroup } from './ledgerChanges.js'
 import type { WantedGroup } from './listWantedGroups.js'
 import type { LoadBudget } from './LoadBudget.js'
-import { OrderBook } from './OrderBook.js'
+import { SentOrders } from './SentOrders.js'
 import { reconcileServer, type Reconciliation } from './reconcileServer.js'
 
-export interface ShardKeeperOptions {
+export interface ShardControllerOptions {
   clock: Clock
   shard: string
   lease: ShardLease
@@ -21,29 +21,30 @@
   ring: EventRing
   budget: LoadBudget
   orderDelayMs: number
-  /** A server that has not answered for so long is taken to be dead. */
-  deadAfterMs: number
+  /** Time without an answer or a report after which a server is considered failed. */
+  failureTimeoutMs: number
   leaseMs: number
   createId: () => string
   listShards: () => readonly string[]
-  /** Engines of this shard in the instance list. */
+  /** Lists the engines of this shard. */
   listServers: () => ListedInstance[]
   readDemand: (item: string) => number
-  hasRefused: (shard: string, item: string) => boolean
-  /** What the newest report said about an engine; undefined when none came here. Without one every engine is asked itself. */
-  readHint: (server: string) => EngineHint | undefined
-  /** Asks all instances to stop sending; gives what is still there, undefined when not all answered. */
+  /** Whether a shard has reported that it has no room for an item. */
+  hasRejected: (shard: string, item: string) => boolean
+  /** Returns the newest report about an engine; undefined if there is none, and the engine's inventory is read instead. */
+  readReportedItems: (server: string) => ReportedItems | undefined
+  /** Asks all instances to stop sending requests; returns the number in flight, undefined if an instance did not answer. */
   drain: (server: string, item: string) => Promise<number | undefined>
 }
 
-/** An engine as its newest report shows it. */
-export interface EngineHint {
-  /** Monotone time of the figures. */
-  at: number
+/** The items on an engine according to its newest report. */
+export interface ReportedItems {
+  /** Monotonic time at which the report was current. */
+  reportedAt: number
   items: readonly { item: string }[]
 }
 
-/** What people are shown about a shard. */
+/** Status of a shard for operators. */
 export interface ShardStatus {
   shard: string
   holder: string
@@ -59,36 +60,36 @@
   action: EngineOrder['action']
 }
 
-const RETRY_MS = 1_000
-const INSPECT_MS = 60_000
+const ORDER_RETRY_MS = 1_000
+const INSPECTION_INTERVAL_MS = 60_000
 const MAX_MOVES_PER_STEP = 1
 const MAX_DRAIN_MS = 600_000
 const ORDER_EXPIRY_MS = 1_500
 
-/** Holds one placement shard: every step renews the lease, compares ledger and engines, plans, reserves and orders. */
-export class ShardKeeper {
-  private readonly orders: OrderBook
-  private readonly heardAt = new Map<string, number>()
+/** Controls one placement shard: every step renews the lease, compares ledger and engines, plans, reserves memory and sends orders. */
+export class ShardController {
+  private readonly sentOrders: SentOrders
+  private readonly lastSeenAt = new Map<string, number>()
   private readonly inspectedAt = new Map<string, number>()
   private readonly drainingSince = new Map<string, number>()
   private renewedAt = -Infinity
   private unplaced: string[] = []
   private lastSteps: Plan['steps'] = []
 
-  constructor (private readonly opts: ShardKeeperOptions) {
-    this.orders = new OrderBook({ clock: opts.clock, orderDelayMs: opts.orderDelayMs, retryMs: RETRY_MS })
+  constructor (private readonly opts: ShardControllerOptions) {
+    this.sentOrders = new SentOrders({ clock: opts.clock, orderDelayMs: opts.orderDelayMs, retryMs: ORDER_RETRY_MS })
   }
 
-  /** One turn of the instance that should hold the shard. */
+  /** Runs one step; to be called regularly on the instance that should hold the shard. */
   async step (): Promise<void> {
-    if (!await this.ensureHeld()) return
-    await this.adoptServers()
+    if (!await this.ensureLease()) return
+    await this.updateServers()
     await this.reconcile()
     await this.advanceDrains()
-    await this.carryOutPlan()
+    await this.applyPlan()
   }
 
-  /** Gives the shard to another instance. */
+  /** Releases the lease so that another instance can acquire it. */
   async release (): Promise<void> {
     if (!this.opts.lease.isHeld) return
     await this.opts.lease.release()
@@ -106,11 +107,11 @@
     return this.opts.lease.isHeld ? this.unplaced : []
   }
 
-  private async ensureHeld (): Promise<boolean> {
+  private async ensureLease (): Promise<boolean> {
     const { clock, lease, ring, shard } = this.opts
     if (!lease.isHeld) {
-      this.orders.clear()
-      // A new holder orders nothing to an engine before it has seen what that holds.
+      this.sentOrders.clear()
+      // A new holder sends no order to an engine before reading its inventory.
       this.inspectedAt.clear()
       if (!await lease.tryTake()) return false
       this.renewedAt = clock.readTime()
@@ -123,24 +124,24 @@
     return lease.isHeld
   }
 
-  /** Takes new engines into the ledger, and out of it those that the platform has removed. */
-  private async adoptServers (): Promise<void> {
+  /** Adds new engines to the ledger and removes failed ones that are no longer listed. */
+  private async updateServers (): Promise<void> {
     const record = this.opts.lease.readRecord()
     if (!record) return
     const listed = new Map(this.opts.listServers().map((server) => [server.id, server]))
-    const fresh = [...listed.values()].filter((server) => !record.servers[server.id])
-    const gone = Object.keys(record.servers).filter((id) => !listed.has(id) && this.isDead(id))
-    if (fresh.length === 0 && gone.length === 0) return
-    // An engine that comes back is unknown again, whatever its reports say.
-    for (const id of gone) this.inspectedAt.delete(id)
+    const added = [...listed.values()].filter((server) => !record.servers[server.id])
+    const removed = Object.keys(record.servers).filter((id) => !listed.has(id) && this.hasFailed(id))
+    if (added.length === 0 && removed.length === 0) return
+    // If the engine returns, its inventory must be read again.
+    for (const id of removed) this.inspectedAt.delete(id)
     await this.update((next) => {
-      for (const server of fresh) next.servers[server.id] = { capacity: server.memoryBytes ?? 0, entries: [] }
-      for (const id of gone) delete next.servers[id]
+      for (const server of added) next.servers[server.id] = { capacity: server.memoryBytes ?? 0, entries: [] }
+      for (const id of removed) delete next.servers[id]
     })
   }
 
-  private isDead (server: string): boolean {
-    return this.opts.clock.readTime() - (this.heardAt.get(server) ?? this.opts.lease.quietSince) > this.opts.deadAfterMs
+  private hasFailed (server: string): boolean {
+    return this.opts.clock.readTime() - (this.lastSeenAt.get(server) ?? this.opts.lease.formerOrdersUntil) > this.opts.failureTimeoutMs
   }
 
   private async reconcile (): Promise<void> {
@@ -155,36 +156,36 @@
     })
     if (!updated) return
     for (const [server, result] of changed) this.reportReconciliation(server, result)
-    await this.sendOrders(changed.flatMap(([server, result]) => this.listResends(server, result)))
+    await this.sendOrders(changed.flatMap(([server, result]) => this.listRetries(server, result)))
   }
 
-  /** Engines are asked when something is under way there, when a report doesn't agree with the ledger, and now and then. */
+  /** Whether to read an engine's inventory: a copy is changing state, the report is missing or differs from the ledger, or it is due. */
   private mustInspect (server: ListedInstance, record: ShardRecord): boolean {
     const ledger = record.servers[server.id]
     if (!ledger) return false
-    const hint = this.opts.readHint(server.id)
+    const report = this.opts.readReportedItems(server.id)
     const now = this.opts.clock.readTime()
-    if (!hint || now - hint.at > this.opts.deadAfterMs) return true
-    this.heardAt.set(server.id, Math.max(hint.at, this.heardAt.get(server.id) ?? -Infinity))
-    if (now - (this.inspectedAt.get(server.id) ?? -Infinity) > INSPECT_MS) return true
+    if (!report || now - report.reportedAt > this.opts.failureTimeoutMs) return true
+    this.lastSeenAt.set(server.id, Math.max(report.reportedAt, this.lastSeenAt.get(server.id) ?? -Infinity))
+    if (now - (this.inspectedAt.get(server.id) ?? -Infinity) > INSPECTION_INTERVAL_MS) return true
     if (ledger.entries.some((entry) => entry.state !== EntryStates.READY)) return true
-    const shown = new Set(hint.items.map((item) => item.item))
-    return shown.size !== ledger.entries.length || ledger.entries.some((entry) => !shown.has(entry.item))
+    const reportedItems = new Set(report.items.map((item) => item.item))
+    return reportedItems.size !== ledger.entries.length || ledger.entries.some((entry) => !reportedItems.has(entry.item))
   }
 
   private async inspect (server: ListedInstance, record: ShardRecord): Promise<[ListedInstance, Reconciliation] | undefined> {
-    const askedAt = this.opts.clock.readTime()
+    const requestedAt = this.opts.clock.readTime()
     const inventory = await this.opts.engines.readInventory(server.address)
     if (inventory.isErr()) return undefined
-    this.heardAt.set(server.id, this.opts.clock.readTime())
+    this.lastSeenAt.set(server.id, this.opts.clock.readTime())
     this.inspectedAt.set(server.id, this.opts.clock.readTime())
     const ledger = record.servers[server.id]
     if (!ledger) return undefined
-    const quietSince = this.opts.lease.quietSince
+    const formerOrdersUntil = this.opts.lease.formerOrdersUntil
     return [server, reconcileServer(ledger, inventory.value, {
-      takenAt: askedAt - inventory.value.ageMs,
-      getLateUntil: (item) => this.orders.getLateUntil(server.id, item, quietSince),
-      getOverdueAt: (item) => this.orders.getOverdueAt(server.id, item, quietSince),
+      takenAt: requestedAt - inventory.value.ageMs,
+      getLatestArrival: (item) => this.sentOrders.getLatestArrival(server.id, item, formerOrdersUntil),
+      getOverdueAt: (item) => this.sentOrders.getOverdueAt(server.id, item, formerOrdersUntil),
     })]
   }
 
@@ -194,7 +195,7 @@
     for (const { item } of result.found) this.opts.ring.record(EventKinds.BYTES_RESERVED, { server: server.id, model: item, note: 'found on the engine' })
   }
 
-  private listResends (server: ListedInstance, result: Reconciliation): PendingOrder[] {
+  private listRetries (server: ListedInstance, result: Reconciliation): PendingOrder[] {
     const record = this.opts.lease.readRecord()
     return result.resend.flatMap((item) => {
       const entry = record && findEntry(record, server.id, item)
@@ -203,7 +204,7 @@
     })
   }
 
-  /** Copies that wait for their last requests are unloaded when no instance has any there. */
+  /** Unloads draining copies that have no requests left or whose drain has timed out. */
   private async advanceDrains (): Promise<void> {
     const record = this.opts.lease.readRecord()
     if (!record) return
@@ -216,24 +217,24 @@
     const updated = await this.update((next) => {
       for (const { server, entry } of drained) setEntryState(next, server, entry.item, EntryStates.UNLOADING)
     })
-    if (updated) await this.sendOrders(drained.flatMap(({ server, entry }) => this.buildPending(server, entry, 'unload')))
+    if (updated) await this.sendOrders(drained.flatMap(({ server, entry }) => this.buildPendingOrder(server, entry, 'unload')))
   }
 
   private async isDrained (server: string, item: string): Promise<boolean> {
     const name = `${server}|${item}`
     const since = this.drainingSince.get(name) ?? this.opts.clock.readTime()
     this.drainingSince.set(name, since)
-    const left = await this.opts.drain(server, item)
-    const late = this.opts.clock.readTime() - since > MAX_DRAIN_MS
-    if (left !== 0 && !late) return false
+    const inFlight = await this.opts.drain(server, item)
+    const hasTimedOut = this.opts.clock.readTime() - since > MAX_DRAIN_MS
+    if (inFlight !== 0 && !hasTimedOut) return false
     this.drainingSince.delete(name)
     return true
   }
 
-  private async carryOutPlan (): Promise<void> {
+  private async applyPlan (): Promise<void> {
     const record = this.opts.lease.readRecord()
     if (!record || !this.opts.lease.mayOrder) return
-    const underWay = listInState(record, EntryStates.LOADING).length
+    const loading = listInState(record, EntryStates.LOADING).length
     const { input, wanted } = buildPlanInput({
       shard: this.opts.shard,
       shards: this.opts.listShards(),
@@ -241,8 +242,8 @@
       record,
       alive: this.listAlive(),
       readDemand: this.opts.readDemand,
-      hasRefused: this.opts.hasRefused,
-      maxLoads: this.opts.budget.countAvailable(underWay),
+      hasRejected: this.opts.hasRejected,
+      maxLoads: this.opts.budget.countAvailable(loading),
       maxMoves: MAX_MOVES_PER_STEP,
     })
     const plan = this.opts.planner.plan(input)
@@ -252,14 +253,16 @@
   }
 
   private listAlive (): Map<string, ListedInstance> {
-    return new Map(this.opts.listServers().filter((server) => this.inspectedAt.has(server.id) && !this.isDead(server.id)).map((server) => [server.id, server]))
+    return new Map(
+      this.opts.listServers().filter((server) => this.inspectedAt.has(server.id) && !this.hasFailed(server.id)).map((server) => [server.id, server]),
+    )
   }
 
-  /** Reserves for all loads in one write, and only then orders. */
+  /** Reserves the memory of all loads in one write before sending any order. */
   private async startSteps (plan: Plan, wanted: ReadonlyMap<string, WantedGroup>): Promise<void> {
     const loads: { server: string, entry: LedgerEntry }[] = []
     const record = this.opts.lease.readRecord()
-    const adapters = record ? listMissingAdapters(record, wanted, (id) => !this.isDead(id)) : []
+    const adapters = record ? listMissingAdapters(record, wanted, (id) => !this.hasFailed(id)) : []
     if (plan.steps.length === 0 && adapters.length === 0) return
     const updated = await this.update((next) => {
       for (const step of plan.steps) {
@@ -273,17 +276,17 @@
     if (!updated) return
     this.opts.budget.take(loads.length)
     for (const { server, entry } of loads) this.opts.ring.record(EventKinds.BYTES_RESERVED, { server, model: entry.item, fence: this.opts.lease.fence })
-    await this.sendOrders(loads.flatMap(({ server, entry }) => this.buildPending(server, entry, 'load')))
+    await this.sendOrders(loads.flatMap(({ server, entry }) => this.buildPendingOrder(server, entry, 'load')))
   }
 
-  private buildPending (serverId: string, entry: LedgerEntry, action: EngineOrder['action']): PendingOrder[] {
+  private buildPendingOrder (serverId: string, entry: LedgerEntry, action: EngineOrder['action']): PendingOrder[] {
     const server = this.opts.listServers().find((it) => it.id === serverId)
     return server ? [{ server, entry, action }] : []
   }
 
   private async sendOrders (orders: readonly PendingOrder[]): Promise<void> {
     if (orders.length === 0) return
-    // One write numbers the whole group, so that engines can tell older orders of this holder from newer ones.
+    // One write assigns all sequence numbers, by which engines detect outdated orders of the same holder.
     let first = 0
     const numbered = await this.update((next) => {
       first = next.sequence + 1
@@ -308,10 +311,10 @@
       expiresAt: clock.readWallTime() + ORDER_EXPIRY_MS,
     }
     const fields = { order: order.order, server: server.id, model: entry.item, fence: order.fence }
-    this.orders.noteSent(server.id, entry.item)
+    this.sentOrders.recordSent(server.id, entry.item)
     ring.record(EventKinds.ORDER_SENT, { ...fields, note: `${action}, sequence ${sequence}` })
     const sent = await engines.sendOrder(server.address, order)
-    this.orders.noteSent(server.id, entry.item)
+    this.sentOrders.recordSent(server.id, entry.item)
     if (sent.isErr()) ring.record(EventKinds.ORDER_FAILED, { ...fields, note: sent.error.message })
   }
 
--- a/placement/mover/src/drainChannel.ts
+++ b/placement/mover/src/drainChannel.ts
@@ -6,8 +6,8 @@
 const DRAIN = defineChannel<{ server: string, item: string }, number>('placement.drain')
 
 const CALL_TIMEOUT_MS = 1_000
-// Without a repeated request an instance takes up the item again after this time.
-const DRAIN_MS = 20_000
+// An instance resumes sending the item's requests if the drain is not repeated within this time.
+const DRAIN_EXPIRY_MS = 20_000
 
 export interface DrainOptions {
   clock: Clock
@@ -16,15 +16,15 @@
   table: RunnerTable
 }
 
-/** Lets peers drain items on this instance's runners. */
-export function answerDrains (opts: DrainOptions): void {
-  opts.network.handleCalls(DRAIN, (_, body) => drainHere(opts, body.server, body.item))
+/** Handles requests of other instances to drain items on this instance's runners. */
+export function handleDrains (opts: DrainOptions): void {
+  opts.network.handleCalls(DRAIN, (_, body) => drainLocally(opts, body.server, body.item))
 }
 
-/** Asks every instance to send an item on a server no more work; gives the requests still there, undefined when one did not answer. */
-export async function drainEverywhere (opts: DrainOptions, server: string, item: string): Promise<number | undefined> {
-  const own = drainHere(opts, server, item)
-  // Instances that are stopping may still have requests there.
+/** Asks all instances to stop sending an item's requests to a server; returns the number in flight, undefined if one did not answer. */
+export async function drainOnAllInstances (opts: DrainOptions, server: string, item: string): Promise<number | undefined> {
+  const own = drainLocally(opts, server, item)
+  // Leaving instances may still have requests in flight.
   const peers = opts.view.listMembers().filter((member) => member.state !== 'suspect' && member.instance !== opts.view.self.instance)
   const answers = await Promise.all(peers.map((peer) => opts.network.call(peer.instance, DRAIN, { server, item }, CALL_TIMEOUT_MS)))
   let sum = own
@@ -35,9 +35,9 @@
   return sum
 }
 
-function drainHere (opts: DrainOptions, server: string, item: string): number {
+function drainLocally (opts: DrainOptions, server: string, item: string): number {
   const runner = opts.table.findRunner(server)
   const now = opts.clock.readTime()
   runner?.endDrains(now)
-  return runner?.drain(item, now + DRAIN_MS) ?? 0
+  return runner?.drain(item, now + DRAIN_EXPIRY_MS) ?? 0
 }
--- a/placement/mover/src/index.ts
+++ b/placement/mover/src/index.ts
@@ -1,5 +1,5 @@
-export { ShardKeeper } from './ShardKeeper.js'
-export type { ShardKeeperOptions, ShardStatus } from './ShardKeeper.js'
+export { ShardController } from './ShardController.js'
+export type { ShardControllerOptions, ShardStatus } from './ShardController.js'
 export { startPlacement } from './startPlacement.js'
 export type { Placement, PlacementOptions } from './startPlacement.js'
 export { listWantedGroups } from './listWantedGroups.js'
--- a/placement/mover/src/ledgerChanges.ts
+++ b/placement/mover/src/ledgerChanges.ts
@@ -9,7 +9,7 @@
 export function applyReconciliation (record: ShardRecord, server: string, result: Reconciliation): void {
   for (const item of result.ready) setEntryState(record, server, item, EntryStates.READY)
   for (const item of result.freed) removeEntry(record, server, item)
-  // The engine holds these bytes whatever the ledger says, so they are written down without asking for room.
+  // The engine already holds these copies, so they are recorded even if they exceed the capacity.
   for (const { item, bytes, state } of result.found) {
     record.servers[server]?.entries.push({ item, bytes, weights: '', state: state === 'ready' ? EntryStates.READY : EntryStates.LOADING })
   }
@@ -30,14 +30,14 @@
   return reserved
 }
 
-/** A copy on its way out takes along its adapters, unless another copy of the same model stays beside them. */
+/** Drains a copy and, if its item is still wanted, the adapters of its group. */
 export function drainGroup (record: ShardRecord, server: string, item: string, wanted: ReadonlyMap<string, WantedGroup>): void {
   setEntryState(record, server, item, EntryStates.DRAINING)
   const group = wanted.get(item)
   for (const adapter of group?.adapters ?? []) setEntryState(record, server, adapter.item, EntryStates.DRAINING)
 }
 
-/** Adapters that were added since their model was loaded there, and of those that lost theirs. */
+/** Lists adapters that are missing beside a ready copy of their model. */
 export function listMissingAdapters (
   record: ShardRecord,
   wanted: ReadonlyMap<string, WantedGroup>,
@@ -46,8 +46,8 @@
   const missing: { server: string, entry: LedgerEntry }[] = []
   for (const [server, ledger] of Object.entries(record.servers)) {
     if (!isAlive(server)) continue
-    for (const held of ledger.entries) {
-      const group = held.state === EntryStates.READY ? wanted.get(held.item) : undefined
+    for (const resident of ledger.entries) {
+      const group = resident.state === EntryStates.READY ? wanted.get(resident.item) : undefined
       for (const { item, bytes, weights } of group?.adapters ?? []) {
         if (!ledger.entries.some((it) => it.item === item)) missing.push({ server, entry: { item, bytes, weights, state: EntryStates.LOADING } })
       }
--- a/placement/mover/src/reconcileServer.ts
+++ b/placement/mover/src/reconcileServer.ts
@@ -1,49 +1,49 @@
 import { EntryStates, type LedgerEntry, type ServerLedger } from '@pulleystack/placement.ledger'
 import type { EngineInventory } from '@pulleystack/backend.interfaces'
 
-/** What an inventory shows about a ledger. */
+/** Differences between a ledger and the inventory of its engine. */
 export interface Reconciliation {
-  /** Copies that the engine now holds ready. */
+  /** Copies that the engine has finished loading. */
   ready: string[]
-  /** Copies whose bytes the engine shows to be free for good. */
+  /** Copies that the engine no longer holds and that no order in transit can bring back. */
   freed: string[]
-  /** Items that the engine holds and the ledger does not know. */
+  /** Items that the engine holds but the ledger does not list. */
   found: { item: string, bytes: number, state: 'loading' | 'ready' }[]
-  /** Copies whose order was lost or is late, and should go again. */
+  /** Copies whose order is overdue and should be sent again. */
   resend: string[]
 }
 
 export interface ReconcileOptions {
-  /** Earliest monotone time that the inventory may show. */
+  /** Earliest monotonic time at which the inventory may have been taken. */
   takenAt: number
-  /** Time until which an order that was sent for the item may still reach the engine. */
-  getLateUntil: (item: string) => number
-  /** Time from which on a missing effect means that the order was lost. */
+  /** Returns the monotonic time until which an order for the item may still reach the engine. */
+  getLatestArrival: (item: string) => number
+  /** Returns the monotonic time after which an order without effect is considered lost. */
   getOverdueAt: (item: string) => number
 }
 
 /**
- * Compares a ledger with what the engine itself says. Bytes only count as free when the inventory was taken after the
- * last moment at which any order to load the item could have reached the engine.
+ * Compares a ledger with the engine's own inventory. Memory counts as free only if the inventory was taken after the
+ * last time at which an order to load the item could have reached the engine.
  */
 export function reconcileServer (ledger: ServerLedger, inventory: EngineInventory, opts: ReconcileOptions): Reconciliation {
   const result: Reconciliation = { ready: [], freed: [], found: [], resend: [] }
-  const shown = new Map(inventory.items.map((item) => [item.item, item]))
-  for (const entry of ledger.entries) reconcileEntry(entry, shown.get(entry.item)?.state, opts, result)
-  const known = new Set(ledger.entries.map((entry) => entry.item))
-  result.found = inventory.items.filter((item) => !known.has(item.item))
+  const inventoryItems = new Map(inventory.items.map((item) => [item.item, item]))
+  for (const entry of ledger.entries) reconcileEntry(entry, inventoryItems.get(entry.item)?.state, opts, result)
+  const ledgerItems = new Set(ledger.entries.map((entry) => entry.item))
+  result.found = inventory.items.filter((item) => !ledgerItems.has(item.item))
   return result
 }
 
-function reconcileEntry (entry: LedgerEntry, shown: 'loading' | 'ready' | undefined, opts: ReconcileOptions, result: Reconciliation): void {
-  const isSettled = opts.takenAt > opts.getLateUntil(entry.item)
+function reconcileEntry (entry: LedgerEntry, engineState: 'loading' | 'ready' | undefined, opts: ReconcileOptions, result: Reconciliation): void {
+  const isSettled = opts.takenAt > opts.getLatestArrival(entry.item)
   const isOverdue = opts.takenAt > opts.getOverdueAt(entry.item)
   if (entry.state === EntryStates.LOADING) {
-    if (shown === 'ready') result.ready.push(entry.item)
-    else if (shown === undefined && isOverdue) result.resend.push(entry.item)
+    if (engineState === 'ready') result.ready.push(entry.item)
+    else if (engineState === undefined && isOverdue) result.resend.push(entry.item)
     return
   }
-  if (shown === undefined) {
+  if (engineState === undefined) {
     if (isSettled) result.freed.push(entry.item)
   } else if (entry.state === EntryStates.UNLOADING && isOverdue) result.resend.push(entry.item)
 }
--- a/placement/mover/src/startPlacement.ts
+++ b/placement/mover/src/startPlacement.ts
@@ -8,16 +8,16 @@
 import { InstanceRoles, type EngineClient, type ListedInstance, type ObjectStore, type WeightStoreLimits } from '@pulleystack/backend.interfaces'
 import type { RunnerTable } from '@pulleystack/routing.runners'
 import type { EventRing } from '@pulleystack/timeline.events'
-import { answerDrains, drainEverywhere } from './drainChannel.js'
+import { handleDrains, drainOnAllInstances } from './drainChannel.js'
 import { LoadBudget } from './LoadBudget.js'
-import { ShardKeeper, type EngineHint, type ShardStatus } from './ShardKeeper.js'
+import { ShardController, type ReportedItems, type ShardStatus } from './ShardController.js'
 
 const DEMAND = defineChannel<Record<string, number>>('placement.demand')
-const REFUSALS = defineChannel<{ shard: string, items: string[] }>('placement.refusals')
+const REJECTIONS = defineChannel<{ shard: string, items: string[] }>('placement.refusals')
 
-const DEMAND_MS = 1_000
-const READING_AGE_MS = 5_000
-const DEAD_AFTER_MS = 2_500
+const DEMAND_INTERVAL_MS = 1_000
+const MAX_READING_AGE_MS = 5_000
+const FAILURE_TIMEOUT_MS = 2_500
 
 export interface PlacementOptions {
   clock: Clock
@@ -37,125 +37,125 @@
   createId: () => string
 }
 
-/** What the rest of the program sees of placement. */
+/** The placement running on this instance. */
 export interface Placement {
-  /** The instance that should hold an engine's shard; undefined before the map is read. */
+  /** Returns the instance that should hold an engine's shard; undefined until the shard map has been read. */
   findHolder: (server: ListedInstance) => string | undefined
-  /** Status of the shards that this instance holds. */
+  /** Returns the status of the shards that this instance holds. */
   readStatus: () => ShardStatus[]
-  /** Hands the held shards over. */
+  /** Releases the shards that this instance holds. */
   stop: () => Promise<void>
 }
 
-interface Running extends PlacementOptions {
+interface PlacementState extends PlacementOptions {
   map: ShardMap | undefined
-  keepers: Map<string, ShardKeeper>
+  controllers: Map<string, ShardController>
   demand: DemandEstimator
-  refusals: Map<string, Set<string>>
+  rejections: Map<string, Set<string>>
   stopped: boolean
 }
 
-/** Takes this instance's part in placement until the signal ends. */
+/** Starts placement on this instance; it runs until the signal is aborted. */
 export function startPlacement (opts: PlacementOptions, signal: AbortSignal): Placement {
-  const running: Running = { ...opts, map: undefined, keepers: new Map(), demand: new DemandEstimator(), refusals: new Map(), stopped: false }
-  answerDrains(opts)
+  const state: PlacementState = { ...opts, map: undefined, controllers: new Map(), demand: new DemandEstimator(), rejections: new Map(), stopped: false }
+  handleDrains(opts)
   const subscriptions = [
-    opts.network.receive(DEMAND).subscribe(({ from, body }) => running.demand.takeReading(from, body, opts.clock.readTime())),
-    opts.network.receive(REFUSALS).subscribe(({ body }) => running.refusals.set(body.shard, new Set(body.items))),
+    opts.network.receive(DEMAND).subscribe(({ from, body }) => state.demand.takeReading(from, body, opts.clock.readTime())),
+    opts.network.receive(REJECTIONS).subscribe(({ body }) => state.rejections.set(body.shard, new Set(body.items))),
   ]
   signal.addEventListener('abort', () => subscriptions.forEach((it) => it.unsubscribe()))
-  void keepStepping(running, signal)
-  void keepReportingDemand(running, signal)
+  void runSteps(state, signal)
+  void reportDemand(state, signal)
   return {
-    findHolder: (server) => running.map && opts.view.findOwner(`placement/${chooseShard(running.map, server.region, server.id)}`),
-    readStatus: () => [...running.keepers.values()].flatMap((keeper) => keeper.readStatus() ?? []),
+    findHolder: (server) => state.map && opts.view.findOwner(`placement/${chooseShard(state.map, server.region, server.id)}`),
+    readStatus: () => [...state.controllers.values()].flatMap((controller) => controller.readStatus() ?? []),
     stop: async () => {
-      running.stopped = true
-      await Promise.all([...running.keepers.values()].map((keeper) => keeper.release()))
+      state.stopped = true
+      await Promise.all([...state.controllers.values()].map((controller) => controller.release()))
     },
   }
 }
 
-async function keepStepping (running: Running, signal: AbortSignal): Promise<void> {
+async function runSteps (state: PlacementState, signal: AbortSignal): Promise<void> {
   while (!signal.aborted) {
-    if (!running.stopped) await stepAll(running)
-    await running.clock.wait(running.intervalMs, signal)
+    if (!state.stopped) await stepAllShards(state)
+    await state.clock.wait(state.intervalMs, signal)
   }
 }
 
-async function stepAll (running: Running): Promise<void> {
-  running.map ??= await readShardMap(running.store, running.shardsPerRegion)
-  if (!running.map) return
-  running.demand.update(running.clock.readTime(), READING_AGE_MS)
-  await Promise.all(listAllShards(running).map((shard) => stepShard(running, shard)))
+async function stepAllShards (state: PlacementState): Promise<void> {
+  state.map ??= await readShardMap(state.store, state.shardsPerRegion)
+  if (!state.map) return
+  state.demand.update(state.clock.readTime(), MAX_READING_AGE_MS)
+  await Promise.all(listAllShards(state).map((shard) => stepShard(state, shard)))
 }
 
-async function stepShard (running: Running, shard: string): Promise<void> {
-  const keeper = findKeeper(running, shard)
-  if (!running.view.isOwner(`placement/${shard}`)) {
-    await keeper.release()
+async function stepShard (state: PlacementState, shard: string): Promise<void> {
+  const controller = getController(state, shard)
+  if (!state.view.isOwner(`placement/${shard}`)) {
+    await controller.release()
     return
   }
-  await keeper.step()
-  const items = keeper.listUnplaced()
-  running.refusals.set(shard, new Set(items))
-  if (listAllShards(running).length > 1) running.network.broadcast(REFUSALS, { shard, items })
+  await controller.step()
+  const items = controller.listUnplaced()
+  state.rejections.set(shard, new Set(items))
+  if (listAllShards(state).length > 1) state.network.broadcast(REJECTIONS, { shard, items })
 }
 
-function findKeeper (running: Running, shard: string): ShardKeeper {
-  const present = running.keepers.get(shard)
-  if (present) return present
-  const created = createKeeper(running, shard)
-  running.keepers.set(shard, created)
-  return created
+function getController (state: PlacementState, shard: string): ShardController {
+  const existing = state.controllers.get(shard)
+  if (existing) return existing
+  const controller = createController(state, shard)
+  state.controllers.set(shard, controller)
+  return controller
 }
 
-function createKeeper (running: Running, shard: string): ShardKeeper {
-  const { clock, view, limits, createId } = running
-  const shards = listAllShards(running).length
-  const lease = new ShardLease({ ...running, shard, holder: `${view.self.instance}/${createId()}`, createOperation: createId })
+function createController (state: PlacementState, shard: string): ShardController {
+  const { clock, view, limits, createId } = state
+  const shards = listAllShards(state).length
+  const lease = new ShardLease({ ...state, shard, holder: `${view.self.instance}/${createId()}`, createOperation: createId })
   const budget = new LoadBudget({ clock, loadsPerSecond: limits.loadsPerSecond / shards, loadsAtOnce: Math.max(1, limits.loadsAtOnce / shards) })
-  return new ShardKeeper({
-    ...running,
+  return new ShardController({
+    ...state,
     shard,
     lease,
     budget,
     planner: new HysteresisPlanner(),
-    deadAfterMs: DEAD_AFTER_MS,
-    listShards: () => listAllShards(running),
-    listServers: () => listShardServers(running, shard),
-    readDemand: (item) => running.demand.read(item),
-    hasRefused: (other, item) => running.refusals.get(other)?.has(item) ?? false,
-    readHint: (server) => readHint(running, server),
-    drain: (server, item) => drainEverywhere(running, server, item),
+    failureTimeoutMs: FAILURE_TIMEOUT_MS,
+    listShards: () => listAllShards(state),
+    listServers: () => listShardServers(state, shard),
+    readDemand: (item) => state.demand.read(item),
+    hasRejected: (other, item) => state.rejections.get(other)?.has(item) ?? false,
+    readReportedItems: (server) => readReportedItems(state, server),
+    drain: (server, item) => drainOnAllInstances(state, server, item),
   })
 }
 
-function readHint (running: Running, server: string): EngineHint | undefined {
-  const runner = running.table.findRunner(server)
-  return runner?.reportedAt === undefined ? undefined : { at: runner.reportedAt, items: runner.listItems() }
+function readReportedItems (state: PlacementState, server: string): ReportedItems | undefined {
+  const runner = state.table.findRunner(server)
+  return runner?.reportedAt === undefined ? undefined : { reportedAt: runner.reportedAt, items: runner.listItems() }
 }
 
-function listAllShards (running: Running): string[] {
-  const engines = running.view.listServers().filter((server) => server.role === InstanceRoles.ENGINE)
-  return running.map ? listShards(running.map, engines.map((server) => server.region)) : []
+function listAllShards (state: PlacementState): string[] {
+  const engines = state.view.listServers().filter((server) => server.role === InstanceRoles.ENGINE)
+  return state.map ? listShards(state.map, engines.map((server) => server.region)) : []
 }
 
-function listShardServers (running: Running, shard: string) {
-  const { map } = running
+function listShardServers (state: PlacementState, shard: string) {
+  const { map } = state
   if (!map) return []
-  return running.view.listServers().filter((server) => server.role === InstanceRoles.ENGINE && chooseShard(map, server.region, server.id) === shard)
+  return state.view.listServers().filter((server) => server.role === InstanceRoles.ENGINE && chooseShard(map, server.region, server.id) === shard)
 }
 
-/** Tells the shards' owners what was asked for here. */
-async function keepReportingDemand (running: Running, signal: AbortSignal): Promise<void> {
-  const { clock, view, network } = running
+/** Sends the demand measured on this instance to the owners of the shards. */
+async function reportDemand (state: PlacementState, signal: AbortSignal): Promise<void> {
+  const { clock, view, network } = state
   while (!signal.aborted) {
-    await clock.wait(DEMAND_MS, signal)
-    const rates = running.meter.take(clock.readTime())
-    const owners = new Set(listAllShards(running).map((shard) => view.findOwner(`placement/${shard}`)))
+    await clock.wait(DEMAND_INTERVAL_MS, signal)
+    const rates = state.meter.take(clock.readTime())
+    const owners = new Set(listAllShards(state).map((shard) => view.findOwner(`placement/${shard}`)))
     for (const owner of owners) {
-      if (owner === view.self.instance) running.demand.takeReading(owner, rates, clock.readTime())
+      if (owner === view.self.instance) state.demand.takeReading(owner, rates, clock.readTime())
       else network.send(owner, DEMAND, rates)
     }
   }
--- a/placement/mover/test/ShardKeeper.test.ts
+++ b/placement/mover/test/ShardController.test.ts
@@ -11,24 +11,24 @@
 import { buildAdapter, buildModel, buildService, checkProperty, createReplica, MemoryEngines } from '@pulleystack/tools.testing'
 import fc from 'fast-check'
 import { LoadBudget } from '../src/LoadBudget.js'
-import { ShardKeeper } from '../src/ShardKeeper.js'
+import { ShardController } from '../src/ShardController.js'
 
 const MEBI = 1024 ** 2
 const ORDER_DELAY_MS = 900
-const LATE_MS = 880
+const LONG_DELAY_MS = 880
 const LEASE_MS = 3_000
 const STEP_MS = 200
 const SHARD_KEY = 'placement/shard/s'
 
 interface Holder {
-  keeper: ShardKeeper
+  controller: ShardController
   lease: ShardLease
   paused: boolean
-  /** Whether the hash names this one; both may believe so. */
+  /** Whether this holder considers itself the shard's owner; both may do so. */
   owner: boolean
 }
 
-/** Two possible holders of one shard over engines that refuse nothing and count their own bytes. */
+/** Two possible holders of one shard, and engines that reject no order and account for their own memory. */
 class Bench {
   readonly clock = new ManualClock()
   readonly store = new MemoryObjectStore({ clock: this.clock })
@@ -37,8 +37,8 @@
   readonly demand = new Map<string, number>()
   readonly servers: ListedInstance[] = []
   readonly holders: Holder[]
-  /** What reports say of every engine; undefined when none come. */
-  hint: { items: { item: string }[] } | undefined
+  /** Items that reports show for every engine; undefined if there are no reports. */
+  reported: { items: { item: string }[] } | undefined
   private version = 1_000
   private ids = 0
 
@@ -74,7 +74,7 @@
       orderDelayMs: ORDER_DELAY_MS,
       createOperation: () => `${name}-${this.ids++}`,
     })
-    const keeper = new ShardKeeper({
+    const controller = new ShardController({
       clock,
       shard: 's',
       lease,
@@ -84,17 +84,17 @@
       ring: new EventRing({ clock, instance: name, dataHall: 'h' }),
       budget: new LoadBudget({ clock, loadsPerSecond: 20, loadsAtOnce: 8 }),
       orderDelayMs: ORDER_DELAY_MS,
-      deadAfterMs: 1_000,
+      failureTimeoutMs: 1_000,
       leaseMs: LEASE_MS,
       createId: () => `o${this.ids++}`,
       listShards: () => ['s'],
       listServers: () => this.servers,
       readDemand: (item) => this.demand.get(item) ?? 0,
-      hasRefused: () => false,
-      readHint: () => this.hint && { ...this.hint, at: clock.readTime() },
+      hasRejected: () => false,
+      readReportedItems: () => this.reported && { ...this.reported, reportedAt: clock.readTime() },
       drain: async () => 0,
     })
-    return { keeper, lease, paused: false, owner }
+    return { controller, lease, paused: false, owner }
   }
 
   setObject (object: ConfigObject): void {
@@ -112,8 +112,8 @@
   async run (ms: number): Promise<void> {
     for (let at = 0; at < ms; at += STEP_MS) {
       for (const holder of this.holders) {
-        if (holder.owner && !holder.paused) void holder.keeper.step()
-        else if (!holder.paused && holder.lease.isHeld) void holder.keeper.release()
+        if (holder.owner && !holder.paused) void holder.controller.step()
+        else if (!holder.paused && holder.lease.isHeld) void holder.controller.release()
       }
       await this.clock.advance(STEP_MS)
       assert.equal(this.engines.isOvercommitted, false, 'an accelerator was overcommitted')
@@ -136,46 +136,53 @@
 }
 
 const fault = fc.oneof(
-  { weight: 3, arbitrary: fc.record({ do: fc.constant('demand' as const), model: fc.nat(5), rate: fc.integer({ min: 0, max: 300 }) }) },
-  { weight: 2, arbitrary: fc.record({ do: fc.constantFrom('loseOrders' as const, 'loseOrderAnswers' as const, 'repeatOrders' as const), engine: fc.nat(2), count: fc.integer({ min: 1, max: 3 }) }) },
-  { weight: 2, arbitrary: fc.record({ do: fc.constant('delay' as const), engine: fc.nat(2), ms: fc.constantFrom(0, 50, LATE_MS) }) },
-  { weight: 1, arbitrary: fc.record({ do: fc.constant('restart' as const), engine: fc.nat(2) }) },
-  { weight: 1, arbitrary: fc.record({ do: fc.constant('engineDown' as const), engine: fc.nat(2), ms: fc.integer({ min: 200, max: 4_000 }) }) },
-  { weight: 2, arbitrary: fc.record({ do: fc.constant('pause' as const), holder: fc.nat(1), ms: fc.integer({ min: 500, max: 9_000 }) }) },
-  { weight: 2, arbitrary: fc.record({ do: fc.constant('owners' as const), one: fc.boolean(), two: fc.boolean() }) },
-  { weight: 1, arbitrary: fc.record({ do: fc.constant('storeDown' as const), ms: fc.integer({ min: 200, max: 8_000 }) }) },
-  { weight: 1, arbitrary: fc.record({ do: fc.constantFrom('loseAnswers' as const, 'loseWrites' as const), count: fc.integer({ min: 1, max: 3 }) }) },
-  { weight: 2, arbitrary: fc.record({ do: fc.constant('remove' as const), model: fc.nat(5) }) },
-  { weight: 1, arbitrary: fc.record({ do: fc.constant('resize' as const), model: fc.nat(5), size: fc.integer({ min: 5, max: 45 }) }) },
+  { weight: 3, arbitrary: fc.record({ kind: fc.constant('demand' as const), model: fc.nat(5), rate: fc.integer({ min: 0, max: 300 }) }) },
+  {
+    weight: 2,
+    arbitrary: fc.record({
+      kind: fc.constantFrom('loseOrders' as const, 'loseOrderAnswers' as const, 'repeatOrders' as const),
+      engine: fc.nat(2),
+      count: fc.integer({ min: 1, max: 3 }),
+    }),
+  },
+  { weight: 2, arbitrary: fc.record({ kind: fc.constant('delay' as const), engine: fc.nat(2), ms: fc.constantFrom(0, 50, LONG_DELAY_MS) }) },
+  { weight: 1, arbitrary: fc.record({ kind: fc.constant('restart' as const), engine: fc.nat(2) }) },
+  { weight: 1, arbitrary: fc.record({ kind: fc.constant('engineDown' as const), engine: fc.nat(2), ms: fc.integer({ min: 200, max: 4_000 }) }) },
+  { weight: 2, arbitrary: fc.record({ kind: fc.constant('pause' as const), holder: fc.nat(1), ms: fc.integer({ min: 500, max: 9_000 }) }) },
+  { weight: 2, arbitrary: fc.record({ kind: fc.constant('owners' as const), one: fc.boolean(), two: fc.boolean() }) },
+  { weight: 1, arbitrary: fc.record({ kind: fc.constant('storeDown' as const), ms: fc.integer({ min: 200, max: 8_000 }) }) },
+  { weight: 1, arbitrary: fc.record({ kind: fc.constantFrom('loseAnswers' as const, 'loseWrites' as const), count: fc.integer({ min: 1, max: 3 }) }) },
+  { weight: 2, arbitrary: fc.record({ kind: fc.constant('remove' as const), model: fc.nat(5) }) },
+  { weight: 1, arbitrary: fc.record({ kind: fc.constant('resize' as const), model: fc.nat(5), size: fc.integer({ min: 5, max: 45 }) }) },
 )
 
 type Fault = typeof fault extends fc.Arbitrary<infer T> ? T : never
 
-function bringAbout (bench: Bench, it: Fault): void {
+function applyFault (bench: Bench, it: Fault): void {
   const memory = 'engine' in it ? bench.engines.memories.get(`e${it.engine}`) : undefined
-  if (it.do === 'demand') bench.demand.set(`p/m${it.model}@base`, it.rate)
-  else if (it.do === 'repeatOrders') Object.assign(memory!.faults, { repeatOrders: it.count, repeatAfterMs: LATE_MS })
-  else if (it.do === 'loseOrders' || it.do === 'loseOrderAnswers') memory!.faults[it.do] += it.count
-  else if (it.do === 'delay') memory!.faults.orderDelayMs = it.ms
-  else if (it.do === 'restart') memory?.restart()
-  else if (it.do === 'engineDown') {
+  if (it.kind === 'demand') bench.demand.set(`p/m${it.model}@base`, it.rate)
+  else if (it.kind === 'repeatOrders') Object.assign(memory!.faults, { repeatOrders: it.count, repeatAfterMs: LONG_DELAY_MS })
+  else if (it.kind === 'loseOrders' || it.kind === 'loseOrderAnswers') memory!.faults[it.kind] += it.count
+  else if (it.kind === 'delay') memory!.faults.orderDelayMs = it.ms
+  else if (it.kind === 'restart') memory?.restart()
+  else if (it.kind === 'engineDown') {
     bench.engines.down.add(`e${it.engine}`)
     bench.clock.setTimer(it.ms, () => bench.engines.down.delete(`e${it.engine}`))
-  } else if (it.do === 'pause') {
+  } else if (it.kind === 'pause') {
     const holder = bench.holders[it.holder] as Holder
     holder.paused = true
     bench.clock.setTimer(it.ms, () => {
       holder.paused = false
     })
-  } else if (it.do === 'owners') [it.one, it.two].forEach((owner, i) => ((bench.holders[i] as Holder).owner = owner))
-  else if (it.do === 'storeDown') {
+  } else if (it.kind === 'owners') [it.one, it.two].forEach((owner, i) => ((bench.holders[i] as Holder).owner = owner))
+  else if (it.kind === 'storeDown') {
     bench.store.faults.down = true
     bench.clock.setTimer(it.ms, () => {
       bench.store.faults.down = false
     })
-  } else if (it.do === 'remove') bench.removeObject(`m${it.model}`)
-  else if (it.do === 'resize') bench.setObject(buildModel('p', `m${it.model}`, { bytes: it.size * MEBI, tokensPerSecond: 100 }))
-  else bench.store.faults[it.do] += it.count
+  } else if (it.kind === 'remove') bench.removeObject(`m${it.model}`)
+  else if (it.kind === 'resize') bench.setObject(buildModel('p', `m${it.model}`, { bytes: it.size * MEBI, tokensPerSecond: 100 }))
+  else bench.store.faults[it.kind] += it.count
 }
 
 function clearFaults (bench: Bench): void {
@@ -187,9 +194,9 @@
   bench.holders.forEach((holder, i) => Object.assign(holder, { paused: false, owner: i === 0 }))
 }
 
-describe('ShardKeeper', () => {
+describe('ShardController', () => {
   describe('placing', () => {
-    it('loads every model and its adapters once there is room', async () => {
+    it('loads every model and its adapters', async () => {
       const objects = [...listModels([30, 30, 30, 30]), buildAdapter('p', 'a', { model: 'm1' })]
       const bench = new Bench({ engines: 2, memory: 100, checksFences: true, objects })
       await bench.run(8_000)
@@ -204,7 +211,7 @@
       assert.ok(bench.listReady().has('p/+late'))
     })
 
-    it('reserves the bytes of a load before its order, and keeps them while the outcome is not known', async () => {
+    it('reserves memory before ordering a load, and keeps it while the outcome is unknown', async () => {
       const bench = new Bench({ engines: 1, memory: 100, checksFences: false, objects: listModels([60]) })
       bench.engines.memories.get('e0')!.faults.loseOrders = 1
       await bench.run(1_200)
@@ -213,7 +220,7 @@
       assert.ok(bench.listReady().has('p/m0@base'))
     })
 
-    it('rolls a new version out beside the old one and then removes the old', async () => {
+    it('loads a new version beside the old one and then unloads the old one', async () => {
       const bench = new Bench({ engines: 1, memory: 100, checksFences: true, objects: listModels([30]) })
       await bench.run(4_000)
       bench.setObject({ kind: 'ModelVersion', partner: 'p', name: 'v2', spec: { model: 'm0', weights: 'w2', bytes: 35 * MEBI, active: true } })
@@ -221,7 +228,7 @@
       assert.deepEqual([...bench.listReady()], ['p/m0@v2'])
     })
 
-    it('gives a second copy to a model whose demand exceeds one accelerator', async () => {
+    it('adds a second copy of a model whose demand exceeds one accelerator', async () => {
       const bench = new Bench({ engines: 2, memory: 100, checksFences: true, objects: listModels([30, 30]) })
       await bench.run(4_000)
       bench.demand.set('p/m0@base', 180)
@@ -232,7 +239,7 @@
   })
 
   describe('when a model\'s declared size changes while it is resident', () => {
-    // Found by exploring: the planner counted the new size and offered room that the ledger never granted.
+    // Guards against a planner that counts the new size and plans memory that the ledger cannot reserve.
     it('still finds room for a model that lost its copy', async () => {
       const bench = new Bench({ engines: 2, memory: 100, checksFences: true, objects: listModels([90, 40]) })
       await bench.run(3_000)
@@ -246,11 +253,11 @@
   })
 
   describe('an engine whose inventory was never read', () => {
-    // Found by reading: fresh reports alone made it count as alive, with an empty ledger over whatever it held.
-    it('is ordered nothing, though its reports come', async () => {
+    // Guards against reports alone making an engine count as alive, with an empty ledger.
+    it('receives no orders, even if there are reports about it', async () => {
       const bench = new Bench({ engines: 1, memory: 100, checksFences: false, objects: listModels([60]) })
       bench.engines.memories.get('e0')!.placeItem('q/unknown@base', 60 * MEBI)
-      bench.hint = { items: [] }
+      bench.reported = { items: [] }
       bench.engines.down.add('e0')
       await bench.run(3_000)
       assert.deepEqual((await bench.readLedger()).e0?.entries, [])
@@ -259,18 +266,18 @@
     })
   })
 
-  describe('when an order arrives late', () => {
-    it('does not give the bytes of a load away while its order may still arrive', async () => {
+  describe('when an order is delayed', () => {
+    it('keeps the memory of a load reserved while its order may still arrive', async () => {
       const bench = new Bench({ engines: 2, memory: 100, checksFences: false, objects: listModels([60, 60, 60]) })
-      for (const memory of bench.engines.memories.values()) memory.faults.orderDelayMs = LATE_MS
+      for (const memory of bench.engines.memories.values()) memory.faults.orderDelayMs = LONG_DELAY_MS
       await bench.run(6_000)
       assert.equal(bench.listReady().size, 2)
     })
 
-    it('does not count a copy as gone while its load order may still act a second time', async () => {
+    it('keeps the memory of a removed model reserved while its load order may be delivered again', async () => {
       const bench = new Bench({ engines: 1, memory: 100, checksFences: false, objects: listModels([60]) })
       const memory = bench.engines.memories.get('e0')!
-      Object.assign(memory.faults, { repeatOrders: 1, repeatAfterMs: LATE_MS })
+      Object.assign(memory.faults, { repeatOrders: 1, repeatAfterMs: LONG_DELAY_MS })
       await bench.run(1_200)
       bench.removeObject('m0')
       bench.setObject(buildModel('p', 'm1', { bytes: 90 * MEBI }))
@@ -279,8 +286,8 @@
     })
   })
 
-  describe('after a death', () => {
-    it('loads the models that have no copy left elsewhere', async () => {
+  describe('after an engine failure', () => {
+    it('loads models that lost their only copy on other engines', async () => {
       const bench = new Bench({ engines: 3, memory: 100, checksFences: true, objects: listModels([30, 30, 30]) })
       await bench.run(5_000)
       bench.engines.down.add('e0')
@@ -288,7 +295,7 @@
       assert.equal(bench.listReady().size, 3)
     })
 
-    it('repairs an engine that came back empty', async () => {
+    it('reloads the models of an engine that restarted empty', async () => {
       const bench = new Bench({ engines: 1, memory: 100, checksFences: true, objects: listModels([30, 40]) })
       await bench.run(4_000)
       bench.engines.memories.get('e0')!.restart()
@@ -297,8 +304,8 @@
     })
   })
 
-  describe('with a holder that pauses past its lease', () => {
-    it('lets the successor take over and the former one change nothing any more', async () => {
+  describe('when a holder pauses beyond its lease', () => {
+    it('lets a successor take over and the former holder send no orders', async () => {
       const bench = new Bench({ engines: 2, memory: 100, checksFences: false, objects: listModels([30, 30]) })
       await bench.run(1_000)
       Object.assign(bench.holders[0]!, { paused: true })
@@ -310,28 +317,28 @@
     })
   })
 
-  describe('under any mixture of faults', () => {
+  describe('with random faults', () => {
     it('never overcommits accelerators that are nearly full, on engines that do not check fences', async () => {
       const steps = fc.array(fc.tuple(fault, fc.integer({ min: 0, max: 6 })), { minLength: 6, maxLength: 30 })
       await checkProperty([steps, fc.array(fc.integer({ min: 20, max: 58 }), { minLength: 6, maxLength: 6 })], async (list, sizes) => {
         const bench = new Bench({ engines: 3, memory: 60, checksFences: false, objects: listModels(sizes) })
-        for (const memory of bench.engines.memories.values()) memory.faults.orderDelayMs = LATE_MS
-        for (const [it, turns] of list) {
-          bringAbout(bench, it)
-          await bench.run(turns * STEP_MS)
+        for (const memory of bench.engines.memories.values()) memory.faults.orderDelayMs = LONG_DELAY_MS
+        for (const [it, stepCount] of list) {
+          applyFault(bench, it)
+          await bench.run(stepCount * STEP_MS)
         }
         await bench.run(3_000)
       }, 120)
     })
 
     for (const checksFences of [true, false]) {
-      it(`never overcommits and repairs itself, on engines that ${checksFences ? 'check' : 'do not check'} fences`, async () => {
+      it(`never overcommits and recovers from all faults, on engines that ${checksFences ? 'check' : 'do not check'} fences`, async () => {
         const steps = fc.array(fc.tuple(fault, fc.integer({ min: 0, max: 8 })), { minLength: 4, maxLength: 20 })
         await checkProperty([steps, fc.array(fc.integer({ min: 5, max: 45 }), { minLength: 6, maxLength: 6 })], async (list, sizes) => {
           const bench = new Bench({ engines: 3, memory: 100, checksFences, objects: listModels(sizes) })
-          for (const [it, turns] of list) {
-            bringAbout(bench, it)
-            await bench.run(turns * STEP_MS)
+          for (const [it, stepCount] of list) {
+            applyFault(bench, it)
+            await bench.run(stepCount * STEP_MS)
           }
           clearFaults(bench)
           await bench.run(20_000)
