--- a/gateway/routed/src/BackendQueue.ts
+++ b/gateway/routed/src/BackendQueue.ts
@@ -6,11 +6,11 @@
 import { ChoiceFailures, PREFILL_TOKENS_PER_MS, chooseBackend, nameWeights, type Backend, type BackendChoice, type BackendFleet, type ChoiceFailure } from '@pulleystack/routing.fleet'
 import type { ServerPermits } from '@pulleystack/routing.permits'
 import { DecisionKinds, type DecisionLog } from '@pulleystack/timeline.decisions'
-import { BackendPlace, PlaceChanges } from './BackendPlace.js'
-import { createRefusal, createStopping } from './createRefusal.js'
-import { PlaceForecast, namePlaces } from './PlaceForecast.js'
+import { BackendPlace, PlaceChanges } from './BackendSlot.js'
+import { createRefusal, createStopping } from './createRejection.js'
+import { PlaceForecast, namePlaces } from './SlotForecast.js'
 import type { RoutedWork } from './RoutedWork.js'
-import { WantedPermits } from './WantedPermits.js'
+import { WantedPermits } from './PermitDemand.js'
 
 /** Requests that a plain server may have beyond its slots, as a share of them; they wait in its own queue for less than its work takes. */
 const QUEUE_SHARE = 1.5
--- a/gateway/routed/src/BackendPlace.ts
+++ b/gateway/routed/src/BackendSlot.ts
@@ -1,6 +1,6 @@
 import type { Clock } from '@pulleystack/core.clock'
 import type { Backend, BackendChoice, CreditUse } from '@pulleystack/routing.fleet'
-import type { ServedTimes } from './PlaceForecast.js'
+import type { ServedTimes } from './SlotForecast.js'
 import type { RoutedWork } from './RoutedWork.js'
 
 /** What changed about a place. */
--- a/gateway/routed/src/RoutedGateway.ts
+++ b/gateway/routed/src/RoutedGateway.ts
@@ -15,7 +15,7 @@
 import { UnfinishedRequest, type UnfinishedFacts } from './UnfinishedRequest.js'
 import type { InstanceRelay } from './InstanceRelay.js'
 import { RELAY_HEADER_NAMES, readMinVersion } from './relayHeaders.js'
-import { createRequestEnd, endWith, waitUntilSent, type RequestEnd } from './RequestEnd.js'
+import { createRequestEnd, endWith, waitUntilSent, type RequestEnd } from './RequestAborter.js'
 import { runRequest, type RunOptions } from './runRequest.js'
 import { waitForReads } from './waitForReads.js'
 
--- a/gateway/routed/src/SuspectGate.ts
+++ b/gateway/routed/src/SuspectGate.ts
@@ -4,7 +4,7 @@
 import type { ServerProbe } from '@pulleystack/routing.forward'
 import { Verdicts, type Quarantine, type SuspectRun, type Verdict } from '@pulleystack/routing.quarantine'
 import { DecisionKinds, type DecisionLog } from '@pulleystack/timeline.decisions'
-import { hashWork } from './hashWork.js'
+import { hashWork } from './hashRequest.js'
 import type { RoutedWork } from './RoutedWork.js'
 
 /** The run that has to end first takes a moment; by then it has ended one way or the other. */
--- a/gateway/routed/test/QueueBench.ts
+++ b/gateway/routed/test/QueueSimulation.ts
@@ -5,7 +5,7 @@
 import { BackendFleet } from '@pulleystack/routing.fleet'
 import { SilentDecisionLog } from '@pulleystack/timeline.decisions'
 import { BackendQueue } from '../src/index.js'
-import type { BackendPlace } from '../src/BackendPlace.js'
+import type { BackendPlace } from '../src/BackendSlot.js'
 import { createStreamProgress } from '../src/relayStream.js'
 import type { RoutedWork } from '../src/RoutedWork.js'
 
--- a/gateway/routed/test/overload.test.ts
+++ b/gateway/routed/test/overload.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import { DEFAULT_POLICY } from '@pulleystack/config.settings'
-import { computeWorth, playLoad, type Load, type Outcome } from './QueueBench.js'
+import { computeWorth, playLoad, type Load, type Outcome } from './QueueSimulation.js'
 
 /** Who waits in vain is one whose place was expected in time and came too late by chance. */
 const MAX_VAIN_SHARE = 0.06
--- a/gateway/routed/test/runRequest.test.ts
+++ b/gateway/routed/test/runRequest.test.ts
@@ -9,7 +9,7 @@
 import { WindowBudget } from '@pulleystack/routing.retries'
 import { SilentDecisionLog } from '@pulleystack/timeline.decisions'
 import { runRequest, type RunOptions } from '../src/runRequest.js'
-import type { BackendPlace } from '../src/BackendPlace.js'
+import type { BackendPlace } from '../src/BackendSlot.js'
 import type { ClientAnswer } from '../src/ClientAnswer.js'
 import type { RoutedWork } from '../src/RoutedWork.js'
 
