--- a/gateway/routed/src/AttemptSignal.ts
+++ b/gateway/routed/src/AttemptSignal.ts
@@ -2,65 +2,65 @@
 import { PulleystackError } from '@pulleystack/core.errors'
 import type { RoutedWork } from './RoutedWork.js'
 
-/** A repeatable request goes elsewhere when nothing has come for this many times its latency target. */
-const SILENCE_TARGETS = 2
+/** Silence before the first data that ends an attempt, as a multiple of the route's latency target. */
+const SILENCE_LATENCY_FACTOR = 2
 const MIN_SILENCE_MS = 250
-/** A stream that may be resumed goes elsewhere after so many of the longest pauses that its route allows. */
-const STALL_PAUSES = 3
+/** Silence within a stream that ends an attempt, as a multiple of the longest pause that the route allows. */
+const STALL_PAUSE_FACTOR = 3
 const DEFAULT_PAUSE_MS = 400
-/** A silent server that nobody can stand in for is looked at again after so long. */
-const LOOK_AGAIN_MS = 250
+/** Interval for checking whether another server can resume a stalled stream. */
+const RECHECK_INTERVAL_MS = 250
 
-/** The end of one attempt. */
+/** Aborts one attempt. */
 export interface AttemptSignal {
   signal: AbortSignal
-  /** Something has come; the next silence may last as long as the pauses that the route allows. */
-  noteBytes: () => void
-  /** The server is held back for a client that reads slowly, so that its silence means nothing; or it may go on. */
-  noteHeld: (isHeld: boolean) => void
+  /** Records received data; from then on the silence limit within a stream applies. */
+  noteActivity: () => void
+  /** Suspends the silence check while reading is paused for a slow client. */
+  notePaused: (isPaused: boolean) => void
   release: () => void
 }
 
 export interface AttemptOptions {
-  /** Whether the server's silence may end the attempt. */
-  isWatched: boolean
-  /** Whether another server could take the request over now. */
-  canMove: () => boolean
+  /** Whether silence of the server may end the attempt. */
+  isSilenceWatched: boolean
+  /** Whether another server could take over the request now. */
+  canSwitchServer: () => boolean
 }
 
 /**
- * Ends with the request, or, when silence is watched, when the server says nothing for too long. An answer that has begun can't be refused any
- * more, so that it stays with a silent server until another one can go on with it.
+ * Aborts with the request, or when the server is silent for too long if silence is watched. A stream that has begun stays with a silent server until
+ * another one can resume it.
  */
 export function createAttemptSignal (clock: Clock, work: RoutedWork, opts: AttemptOptions): AttemptSignal {
-  const abort = new AbortController()
-  const leave = (): void => abort.abort(work.signal.reason)
-  if (work.signal.aborted) leave()
-  work.signal.addEventListener('abort', leave, { once: true })
-  let heardAt = clock.readTime()
-  let isHeld = false
-  let limitMs = Math.max(MIN_SILENCE_MS, work.route.targetLatencyMs * SILENCE_TARGETS)
+  const controller = new AbortController()
+  const handleAbort = (): void => controller.abort(work.signal.reason)
+  if (work.signal.aborted) handleAbort()
+  work.signal.addEventListener('abort', handleAbort, { once: true })
+  let lastActivityAt = clock.readTime()
+  let isPaused = false
+  let limitMs = Math.max(MIN_SILENCE_MS, work.route.targetLatencyMs * SILENCE_LATENCY_FACTOR)
   let cancel = (): void => undefined
-  const look = (): void => {
-    const leftMs = isHeld ? limitMs : heardAt + limitMs - clock.readTime()
-    if (leftMs > 0) cancel = clock.setTimer(leftMs, look)
-    else if (work.stream.events > 0 && !opts.canMove()) cancel = clock.setTimer(LOOK_AGAIN_MS, look)
-    else abort.abort(new PulleystackError('ATTEMPT_FAILED_UNKNOWN', `Nothing came for ${Math.round(limitMs)} ms`))
+  const checkSilence = (): void => {
+    const leftMs = isPaused ? limitMs : lastActivityAt + limitMs - clock.readTime()
+    if (leftMs > 0) cancel = clock.setTimer(leftMs, checkSilence)
+    else if (work.stream.events > 0 && !opts.canSwitchServer()) cancel = clock.setTimer(RECHECK_INTERVAL_MS, checkSilence)
+    else controller.abort(new PulleystackError('ATTEMPT_FAILED_UNKNOWN', `No data received for ${Math.round(limitMs)} ms`))
   }
-  if (opts.isWatched) look()
+  if (opts.isSilenceWatched) checkSilence()
   return {
-    signal: abort.signal,
-    noteBytes: () => {
-      heardAt = clock.readTime()
-      limitMs = (work.route.longestPauseMs ?? DEFAULT_PAUSE_MS) * STALL_PAUSES
+    signal: controller.signal,
+    noteActivity: () => {
+      lastActivityAt = clock.readTime()
+      limitMs = (work.route.longestPauseMs ?? DEFAULT_PAUSE_MS) * STALL_PAUSE_FACTOR
     },
-    noteHeld: (held) => {
-      isHeld = held
-      heardAt = clock.readTime()
+    notePaused: (paused) => {
+      isPaused = paused
+      lastActivityAt = clock.readTime()
     },
     release: () => {
       cancel()
-      work.signal.removeEventListener('abort', leave)
+      work.signal.removeEventListener('abort', handleAbort)
     },
   }
 }
--- a/gateway/routed/src/BackendQueue.ts
+++ b/gateway/routed/src/BackendQueue.ts
@@ -6,49 +6,45 @@
 import { ChoiceFailures, PREFILL_TOKENS_PER_MS, chooseBackend, nameWeights, type Backend, type BackendChoice, type BackendFleet, type ChoiceFailure } from '@pulleystack/routing.fleet'
 import type { ServerPermits } from '@pulleystack/routing.permits'
 import { DecisionKinds, type DecisionLog } from '@pulleystack/timeline.decisions'
-import { BackendPlace, PlaceChanges } from './BackendSlot.js'
-import { createRefusal, createStopping } from './createRejection.js'
-import { PlaceForecast, namePlaces } from './SlotForecast.js'
+import { BackendSlot, SlotChanges } from './BackendSlot.js'
+import { createRejection, createStoppingError } from './createRejection.js'
+import { SlotForecast, buildQueueKey } from './SlotForecast.js'
 import type { RoutedWork } from './RoutedWork.js'
-import { WantedPermits } from './PermitDemand.js'
+import { PermitDemand } from './PermitDemand.js'
 
-/** Requests that a plain server may have beyond its slots, as a share of them; they wait in its own queue for less than its work takes. */
+/** Requests that may be queued at a server without generation beyond its slots, as a share of the slots. */
 const QUEUE_SHARE = 1.5
-/** When nothing is known of when a place will come, clients come back after this time: entries of servers are back within about two seconds. */
-const RETRY_AFTER_SECONDS = 1
-/**
- * Share of the longest pause that a route allows in which prompts may be read beside its streams. Streams that paused for too long had twelve
- * prompts come to their server within 200 ms at the median, the others six (logs of the users' days trouble-1 and scale-1).
- */
-const READING_SHARE = 0.5
-/** A waiting request asks so often whether its weights come by now. */
-const ASK_AGAIN_MS = 250
-/** Requests that wait here at most; beyond it a pass over all of them would take longer than the moments between two. */
-const MAX_WAITING = 400
-/** Clients that are told when to come back come so much later at most, as a share of the time, and not all at once. */
-const RETRY_SPREAD = 0.5
-
-interface Waiting {
+/** Retry delay for clients when no wait can be estimated. */
+const DEFAULT_RETRY_AFTER_SECONDS = 1
+/** Share of the longest pause allowed by a route for which a server may process prompts beside its streams. */
+const PREFILL_PAUSE_SHARE = 0.5
+/** Interval at which a waiting request asks again for its weights. */
+const WEIGHTS_REQUEST_INTERVAL_MS = 250
+/** Bounds the cost of a pass over the queue. */
+const MAX_WAITING_REQUESTS = 400
+/** Largest random extension of a retry delay, as a share of it; keeps clients from retrying all at once. */
+const RETRY_JITTER = 0.5
+
+interface WaitingRequest {
   work: RoutedWork
   candidate: Candidate
-  settle: (place: BackendPlace) => void
-  fail: (error: PulleystackError) => void
-  /** Monotone time from which on the weights may be asked for again. */
-  askAgainAt: number
-  /** What the one that places models said last; undefined before its first answer. */
-  needAnswer: NeedAnswer | undefined
-  /** Monotone time at which that was said. */
-  answeredAt: number
+  resolve: (slot: BackendSlot) => void
+  reject: (error: PulleystackError) => void
+  /** Monotone time in milliseconds. */
+  nextWeightsRequestAt: number
+  /** Latest answer of the model placement; undefined before the first. */
+  weightsAnswer: NeedAnswer | undefined
+  /** Monotone time of that answer in milliseconds. */
+  weightsAnsweredAt: number
   lastFailure: ChoiceFailure
-  /** A log line tells which limits hold it back. */
-  isLimitNoted: boolean
+  isLimitLogged: boolean
 }
 
 export interface BackendQueueOptions {
   clock: Clock
   random: RandomSource
   fleet: BackendFleet
-  /** Undefined where servers name no limits. */
+  /** Undefined where servers announce no rate limits. */
   permits?: Pick<ServerPermits, 'request' | 'giveBack'>
   residency: ResidencyClient
   log: DecisionLog
@@ -56,18 +52,18 @@
   policy: Policy
 }
 
-/** Hands out places at backend servers; requests wait here, the most urgent first, and not in the servers' own queues. */
+/** Assigns slots at backend servers. Requests wait here, most urgent first, rather than in the queues of the servers. */
 export class BackendQueue {
-  private waiting: Waiting[] = []
+  private waiting: WaitingRequest[] = []
   private isClosed = false
-  private readonly forecast: PlaceForecast
-  private readonly permits: WantedPermits
-  /** When the queue looks again although nothing has happened; undefined while it has no reason to. */
-  private wake: { at: number, cancel: () => void } | undefined
+  private readonly forecast: SlotForecast
+  private readonly permitDemand: PermitDemand
+  /** Next scheduled pass over the queue, with its monotone time in milliseconds. */
+  private nextPass: { at: number, cancel: () => void } | undefined
 
   constructor (private readonly opts: BackendQueueOptions) {
-    this.forecast = new PlaceForecast(opts)
-    this.permits = new WantedPermits(opts.permits)
+    this.forecast = new SlotForecast(opts)
+    this.permitDemand = new PermitDemand(opts.permits)
     opts.fleet.changes.subscribe(() => this.pump())
   }
 
@@ -79,102 +75,106 @@
     return this.waiting.some((item) => item.work === work)
   }
 
-  /** Resolves with a place; rejects, always with `ran: no`, as soon as it is known that none will come in time. */
-  acquire (work: RoutedWork): Promise<BackendPlace> {
+  /** Resolves with a slot; rejects, always with `ran: no`, as soon as none is expected in time. */
+  acquire (work: RoutedWork): Promise<BackendSlot> {
     this.forecast.noteArrived(work)
     if (this.waiting.length === 0) {
-      const place = this.tryPlace(work)
-      // Where a limited server would have been better, a right that is asked for now serves the next request.
-      if (place instanceof BackendPlace) this.permits.request()
-      if (place instanceof BackendPlace) return Promise.resolve(place)
-      if (place === ChoiceFailures.NO_BACKEND) return Promise.reject(createRefusal(place, this.spreadRetry(work)))
+      const slot = this.tryAcquire(work)
+      // Permits requested for a better, rate-limited server can serve the next request.
+      if (slot instanceof BackendSlot) this.permitDemand.request()
+      if (slot instanceof BackendSlot) return Promise.resolve(slot)
+      if (slot === ChoiceFailures.NO_BACKEND) return Promise.reject(createRejection(slot, this.computeRetryAfterSeconds(work)))
     }
-    if (this.isClosed && !hasBegun(work)) return Promise.reject(createStopping())
-    if (this.waiting.length >= MAX_WAITING) return Promise.reject(createRefusal(ChoiceFailures.FULL, this.spreadRetry(work)))
+    if (this.isClosed && !hasPartialAnswer(work)) return Promise.reject(createStoppingError())
+    if (this.waiting.length >= MAX_WAITING_REQUESTS) return Promise.reject(createRejection(ChoiceFailures.FULL, this.computeRetryAfterSeconds(work)))
     return this.wait(work)
   }
 
-  /**
-   * Whether another server than the one where the request has its place has room for it now. Those who wait do so for other servers or weights, or
-   * that room would have been theirs; who is more urgent still comes first when the request joins them.
-   */
-  hasPlaceBeside (work: RoutedWork, place: BackendPlace): boolean {
-    const excluded = new Set([...work.excluded, place.backend.id])
-    return typeof this.choose(work, this.computeReadingLimit(work), excluded) !== 'string'
+  /** Whether a server other than that of `slot` could accept the request now. */
+  hasSlotElsewhere (work: RoutedWork, slot: BackendSlot): boolean {
+    const excluded = new Set([...work.excluded, slot.backend.id])
+    return typeof this.chooseServer(work, this.computePrefillLimit(work), excluded) !== 'string'
   }
 
   /**
-   * Refuses those who wait, and lets nobody wait any more; whoever finds a place at once still gets it. An answer that has begun can't be
-   * refused, so that it still waits for one that can go on with it.
+   * Rejects waiting requests and stops queueing new ones; slots that are free at once are still assigned. Partially delivered streams keep waiting for
+   * a server that can resume them.
    */
   close (): void {
     this.isClosed = true
-    for (const item of this.waiting.filter(({ work }) => !hasBegun(work))) item.fail(createStopping())
+    for (const item of this.waiting.filter(({ work }) => !hasPartialAnswer(work))) item.reject(createStoppingError())
   }
 
-  /** Gives places that came free to those who wait, and refuses those for whom none will come in time. */
+  /** Assigns free slots to waiting requests, and rejects requests for which none is expected in time. */
   pump (): void {
     this.rankWaiting()
     for (const item of [...this.waiting]) {
       if (!this.waiting.includes(item)) continue
-      const place = this.mustYield(item) ? ChoiceFailures.FULL : this.tryPlace(item.work)
-      if (place instanceof BackendPlace) item.settle(place)
-      else this.noteFailure(item, place)
+      const slot = this.mustYield(item) ? ChoiceFailures.FULL : this.tryAcquire(item.work)
+      if (slot instanceof BackendSlot) item.resolve(slot)
+      else this.handleFailure(item, slot)
     }
-    this.permits.request()
+    this.permitDemand.request()
   }
 
-  /** One that is late in any case leaves places to those at other instances that can still be in time. */
-  private mustYield ({ work, candidate }: Waiting): boolean {
-    if (!this.opts.policy.timelyFirst || hasBegun(work)) return false
-    if (isInTime(candidate, this.opts.clock.readTime()) || this.opts.fleet.waiting.countElsewhere(namePlaces(work)) === 0) return false
-    return typeof this.choose(work, this.computeReadingLimit(work), work.excluded) !== 'string'
+  /** An overdue request leaves slots to requests at other instances that can still meet their latency targets. */
+  private mustYield ({ work, candidate }: WaitingRequest): boolean {
+    if (!this.opts.policy.timelyFirst || hasPartialAnswer(work)) return false
+    if (isInTime(candidate, this.opts.clock.readTime()) || this.opts.fleet.waiting.countElsewhere(buildQueueKey(work)) === 0) return false
+    return typeof this.chooseServer(work, this.computePrefillLimit(work), work.excluded) !== 'string'
   }
 
-  private noteFailure (item: Waiting, failure: ChoiceFailure): void {
+  private handleFailure (item: WaitingRequest, failure: ChoiceFailure): void {
     item.lastFailure = failure
-    if (failure === ChoiceFailures.NO_BACKEND) item.fail(createRefusal(failure, this.spreadRetry(item.work)))
-    else if (failure === ChoiceFailures.NOT_RESIDENT) this.askForWeights(item, false)
-    else if (failure === ChoiceFailures.FULL) this.judgePlaces(item, () => this.forecast.estimatePlace(item.work, this.countAhead(item)))
-    else if (failure === ChoiceFailures.BACKING_OFF) this.judgeBackoff(item)
-    else if (failure === ChoiceFailures.LIMITED) this.judgeLimited(item)
-    else this.judge(item, this.forecast.estimateReading(item.work, this.countAhead(item)))
+    if (failure === ChoiceFailures.NO_BACKEND) item.reject(createRejection(failure, this.computeRetryAfterSeconds(item.work)))
+    else if (failure === ChoiceFailures.NOT_RESIDENT) this.requestWeights(item, false)
+    else if (failure === ChoiceFailures.FULL) this.checkSlotWait(item, () => this.forecast.estimateSlotWait(item.work, this.countAhead(item)))
+    else if (failure === ChoiceFailures.BACKING_OFF) this.checkBackoff(item)
+    else if (failure === ChoiceFailures.LIMITED) this.checkLimits(item)
+    else this.checkWait(item, this.forecast.estimatePrefillWait(item.work, this.countAhead(item)))
   }
 
-  /** Its last moment to be in time, or to be served at all: a prompt beside many others is better than none. */
-  private placeBesideReading (item: Waiting): void {
-    const place = item.lastFailure === ChoiceFailures.READING ? this.tryPlace(item.work, Infinity) : undefined
-    if (place instanceof BackendPlace) item.settle(place)
+  /** Last chance to meet the latency target or the deadline: exceeding the prefill limit is better than missing them. */
+  private tryIgnoringPrefillLimit (item: WaitingRequest): void {
+    const slot = item.lastFailure === ChoiceFailures.READING ? this.tryAcquire(item.work, Infinity) : undefined
+    if (slot instanceof BackendSlot) item.resolve(slot)
   }
 
-  private tryPlace (work: RoutedWork, readingLimit = this.computeReadingLimit(work)): BackendPlace | ChoiceFailure {
-    const choice = this.choose(work, readingLimit, work.excluded, (backend) => this.permits.note(backend))
+  private tryAcquire (work: RoutedWork, prefillLimit = this.computePrefillLimit(work)): BackendSlot | ChoiceFailure {
+    const choice = this.chooseServer(work, prefillLimit, work.excluded, (backend) => this.permitDemand.add(backend))
     if (typeof choice === 'string') return choice
     const { generation } = work
     if (generation) this.opts.fleet.notePrefix(choice.backend, nameWeights(generation.model, generation.adapter), generation.parts)
-    const endTaken = this.forecast.noteTaken(choice.backend.id)
-    const place: BackendPlace = new BackendPlace(choice, work, this.opts.clock, (change) => {
+    const stopTracking = this.forecast.noteAcquired(choice.backend.id)
+    const slot: BackendSlot = new BackendSlot(choice, work, this.opts.clock, (change) => {
       this.opts.fleet.noteLoadChange()
-      if (change === PlaceChanges.TAKEN) return
-      if (change === PlaceChanges.UNSENT) this.permits.giveBack(choice.backend)
-      if (change === PlaceChanges.ENDED) {
-        endTaken()
-        this.noteEnded(place, work)
+      if (change === SlotChanges.ACQUIRED) return
+      if (change === SlotChanges.UNSENT) this.permitDemand.giveBack(choice.backend)
+      if (change === SlotChanges.RELEASED) {
+        stopTracking()
+        this.noteEnded(slot, work)
       }
       this.pump()
     })
-    return place
+    return slot
   }
 
-  private choose (
+  private chooseServer (
     work: RoutedWork,
-    readingLimit: number,
+    prefillLimit: number,
     excluded: ReadonlySet<string>,
     onLacking?: (backend: Backend) => void,
   ): BackendChoice | ChoiceFailure {
     return chooseBackend({
       backends: this.opts.fleet.list(work.service.name),
-      demand: { dataHall: this.opts.dataHall, excluded, generation: work.generation, queueShare: QUEUE_SHARE, readingLimit, mustBeApart: work.mustBeApart },
+      demand: {
+        dataHall: this.opts.dataHall,
+        excluded,
+        generation: work.generation,
+        queueShare: QUEUE_SHARE,
+        readingLimit: prefillLimit,
+        mustBeApart: work.mustBeApart,
+      },
       figures: work.service.serving,
       policy: this.opts.policy,
       random: this.opts.random,
@@ -183,200 +183,203 @@
     })
   }
 
-  private computeReadingLimit (work: RoutedWork): number {
-    const pauseMs = this.opts.policy.pacedReading ? work.route.longestPauseMs ?? Infinity : Infinity
-    return pauseMs * READING_SHARE * PREFILL_TOKENS_PER_MS
+  private computePrefillLimit (work: RoutedWork): number {
+    const longestPauseMs = this.opts.policy.pacedReading ? work.route.longestPauseMs ?? Infinity : Infinity
+    return longestPauseMs * PREFILL_PAUSE_SHARE * PREFILL_TOKENS_PER_MS
   }
 
-  private noteEnded (place: BackendPlace, work: RoutedWork): void {
-    const times = place.readTimes()
+  private noteEnded (slot: BackendSlot, work: RoutedWork): void {
+    const times = slot.readTimes()
     if (!times) return
     const { generation, service } = work
-    const readTokens = Math.max(0, (generation?.promptTokens ?? 0) - place.choice.keptTokens)
+    const readTokens = Math.max(0, (generation?.promptTokens ?? 0) - slot.choice.keptTokens)
     this.forecast.noteServed(work, { ...times, readTokens })
     if (!generation) return
-    this.notePause(place, work)
+    this.notePause(slot, work)
     const { model, adapter } = generation
     this.opts.residency.noteEnded({ service: service.name, model, adapter }, { heldMs: times.heldMs, readTokens })
   }
 
-  /** A stream that was taken up again paused for its former server's failure, which says nothing of how either reads. */
-  private notePause (place: BackendPlace, { route, stream, excluded }: RoutedWork): void {
+  /** Skips resumed streams: their longest pause may be due to the failure of the former server. */
+  private notePause (slot: BackendSlot, { route, stream, excluded }: RoutedWork): void {
     if (route.longestPauseMs === undefined || stream.events < 2 || excluded.size > 0) return
-    this.opts.fleet.notePause(place.backend, stream.longestPauseMs / route.longestPauseMs, this.opts.clock.readTime())
+    this.opts.fleet.notePause(slot.backend, stream.longestPauseMs / route.longestPauseMs, this.opts.clock.readTime())
   }
 
-  private wait (work: RoutedWork): Promise<BackendPlace> {
+  private wait (work: RoutedWork): Promise<BackendSlot> {
     const { clock, fleet, policy } = this.opts
     return new Promise((resolve, reject) => {
-      const leave = (): void => {
+      const leaveQueue = (): void => {
         cancels.forEach((cancel) => cancel())
-        work.signal.removeEventListener('abort', abandon)
+        work.signal.removeEventListener('abort', handleAbort)
         this.waiting = this.waiting.filter((other) => other !== item)
-        endTally()
+        removeTally()
         fleet.noteLoadChange()
       }
-      const candidate = this.forecast.describe(work, policy.patienceBound)
-      let endTally = isInTime(candidate, clock.readTime()) ? fleet.waiting.add(namePlaces(work)) : () => undefined
-      const item: Waiting = {
+      const candidate = this.forecast.createCandidate(work, policy.patienceBound)
+      let removeTally = isInTime(candidate, clock.readTime()) ? fleet.waiting.add(buildQueueKey(work)) : () => undefined
+      const item: WaitingRequest = {
         work,
         candidate,
-        askAgainAt: -Infinity,
-        needAnswer: undefined,
-        answeredAt: -Infinity,
+        nextWeightsRequestAt: -Infinity,
+        weightsAnswer: undefined,
+        weightsAnsweredAt: -Infinity,
         lastFailure: ChoiceFailures.FULL,
-        isLimitNoted: false,
-        settle: (place) => {
-          leave()
-          resolve(place)
+        isLimitLogged: false,
+        resolve: (slot) => {
+          leaveQueue()
+          resolve(slot)
         },
-        fail: (error) => {
-          leave()
+        reject: (error) => {
+          leaveQueue()
           reject(error)
         },
       }
-      const abandon = (): void => item.fail(new PulleystackError('CALLER_GONE', 'The client went away while the request waited', { ran: Ran.NO }))
+      const handleAbort = (): void => item.reject(
+        new PulleystackError('CALLER_GONE', 'The client closed the connection while the request was queued', { ran: Ran.NO }),
+      )
       const setTimer = (at: number, task: () => void): (() => void) => clock.setTimer(Math.max(0, at - clock.readTime()), task)
       const cancels = [
         setTimer(candidate.dueAt, () => {
-          endTally()
-          endTally = () => undefined
-          // Requests at other instances yield to those in time here until they hear that there are none.
+          removeTally()
+          removeTally = () => undefined
+          // Notifies other instances, whose requests would otherwise keep yielding to this one.
           fleet.noteLoadChange()
-          this.placeBesideReading(item)
+          this.tryIgnoringPrefillLimit(item)
         }),
         setTimer(candidate.latestAt, () => {
-          this.placeBesideReading(item)
-          if (this.waiting.includes(item)) item.fail(createRefusal(item.lastFailure, this.spreadRetry(work)))
+          this.tryIgnoringPrefillLimit(item)
+          if (this.waiting.includes(item)) item.reject(createRejection(item.lastFailure, this.computeRetryAfterSeconds(work)))
         }),
       ]
-      work.signal.addEventListener('abort', abandon, { once: true })
+      work.signal.addEventListener('abort', handleAbort, { once: true })
       this.waiting.push(item)
       fleet.noteLoadChange()
-      if (work.signal.aborted) abandon()
+      if (work.signal.aborted) handleAbort()
       else this.pump()
-      if (this.waiting.includes(item)) this.noteWaiting(item)
+      if (this.waiting.includes(item)) this.recordWaiting(item)
     })
   }
 
-  /** Who comes first changes as those who wait become late. */
+  /** The order changes over time as requests become overdue. */
   private rankWaiting (): void {
     const now = this.opts.clock.readTime()
     if (this.opts.policy.timelyFirst) this.waiting.sort((a, b) => compareUrgency(a.candidate, b.candidate, now))
     else this.waiting.sort((a, b) => a.candidate.priority - b.candidate.priority || a.work.arrivedAt - b.work.arrivedAt)
   }
 
-  /** Refuses a request that can't wait until the first server takes requests again; one that can is tried then. */
-  private judgeBackoff (item: Waiting): void {
+  /** Rejects a request that cannot wait until the first paused server resumes; otherwise schedules a pass for then. */
+  private checkBackoff (item: WaitingRequest): void {
     const leftMs = this.forecast.readBackoffMs(item.work)
     if (leftMs === undefined) return
-    this.judgePlaces(item, () => ({ inTimeMs: leftMs, lateMs: leftMs }))
-    if (this.waiting.includes(item)) this.scheduleWake(leftMs)
+    this.checkSlotWait(item, () => ({ inTimeMs: leftMs, lateMs: leftMs }))
+    if (this.waiting.includes(item)) this.schedulePass(leftMs)
   }
 
-  /** Refuses a request that can't wait until limits leave a place, once it is known that they leave none now. */
-  private judgeLimited (item: Waiting): void {
-    this.permits.request()
-    this.askForWeights(item, true)
-    if (this.forecast.isAskingForPermits(item.work)) return
-    this.noteLimited(item)
-    this.judgePlaces(item, () => this.forecast.estimatePermit(item.work, this.countAhead(item)))
+  /** Rejects a request that cannot wait for a permit, once no request for permits is unanswered. */
+  private checkLimits (item: WaitingRequest): void {
+    this.permitDemand.request()
+    this.requestWeights(item, true)
+    if (this.forecast.isAwaitingPermits(item.work)) return
+    this.recordLimits(item)
+    this.checkSlotWait(item, () => this.forecast.estimatePermitWait(item.work, this.countAhead(item)))
   }
 
-  /** Looks again after so long, or when it is to look sooner anyway. */
-  private scheduleWake (ms: number): void {
+  /** Schedules a pass over the queue in `ms`, unless an earlier one is scheduled. */
+  private schedulePass (ms: number): void {
     const { clock } = this.opts
     const at = clock.readTime() + ms
-    if (this.wake && this.wake.at <= at) return
-    this.wake?.cancel()
+    if (this.nextPass && this.nextPass.at <= at) return
+    this.nextPass?.cancel()
     const cancel = clock.setTimer(ms, () => {
-      this.wake = undefined
+      this.nextPass = undefined
       this.pump()
     })
-    this.wake = { at, cancel }
+    this.nextPass = { at, cancel }
   }
 
-  /** Refuses a request for which no place will come in time; a copy of its weights that is on the way brings many. */
-  private judgePlaces (item: Waiting, estimate: () => WaitEstimate | undefined): void {
-    this.askForWeights(item, true)
-    const { work, candidate, needAnswer } = item
-    if (work.generation && !needAnswer) return
-    if (needAnswer?.coming && item.answeredAt + needAnswer.expectedMs <= candidate.latestAt) return
-    this.judge(item, estimate())
+  /** Rejects a request for which neither a slot nor another copy of its weights is expected in time. */
+  private checkSlotWait (item: WaitingRequest, estimate: () => WaitEstimate | undefined): void {
+    this.requestWeights(item, true)
+    const { work, candidate, weightsAnswer } = item
+    if (work.generation && !weightsAnswer) return
+    if (weightsAnswer?.coming && item.weightsAnsweredAt + weightsAnswer.expectedMs <= candidate.latestAt) return
+    this.checkWait(item, estimate())
   }
 
-  private judge (item: Waiting, estimate: WaitEstimate | undefined): void {
+  private checkWait (item: WaitingRequest, estimate: WaitEstimate | undefined): void {
     const { work, candidate, lastFailure } = item
-    if (!estimate || !this.opts.policy.waitEstimate || hasBegun(work)) return
+    if (!estimate || !this.opts.policy.waitEstimate || hasPartialAnswer(work)) return
     const verdict = judgeWait(candidate, estimate, this.opts.clock.readTime())
-    if (!verdict.mayWait) item.fail(createRefusal(lastFailure, this.spreadRetry(work, verdict.expectedMs)))
+    if (!verdict.mayWait) item.reject(createRejection(lastFailure, this.computeRetryAfterSeconds(work, verdict.expectedMs)))
   }
 
-  private countAhead (item: Waiting): number {
-    const name = namePlaces(item.work)
+  private countAhead (item: WaitingRequest): number {
+    const key = buildQueueKey(item.work)
     let ahead = 0
     for (const other of this.waiting) {
       if (other === item) break
-      if (namePlaces(other.work) === name) ahead++
+      if (buildQueueKey(other.work) === key) ahead++
     }
     return ahead
   }
 
-  /** Refuses a request whose weights can't come in time. */
-  private judgeWeights (item: Waiting): void {
-    const { work, candidate, needAnswer, answeredAt } = item
-    if (!needAnswer) return
-    // Without one that orders it is still known how long a load takes at least.
-    const expectedMs = needAnswer.coming ? needAnswer.expectedMs : needAnswer.earliestMs ?? this.estimateLoadMs(work)
-    if (hasBegun(work) || !this.opts.policy.waitEstimate) return
-    if (answeredAt + expectedMs <= candidate.latestAt) return
-    item.fail(new PulleystackError('NO_RUNNER', 'The model will be there too late', { retryAfterSeconds: this.spreadRetry(work, expectedMs) }))
+  /** Rejects a request whose weights cannot be loaded in time. */
+  private checkWeightsWait (item: WaitingRequest): void {
+    const { work, candidate, weightsAnswer, weightsAnsweredAt } = item
+    if (!weightsAnswer) return
+    // Without an ordered load, the minimal duration of a load is a lower bound.
+    const expectedMs = weightsAnswer.coming ? weightsAnswer.expectedMs : weightsAnswer.earliestMs ?? this.estimateLoadMs(work)
+    if (hasPartialAnswer(work) || !this.opts.policy.waitEstimate) return
+    if (weightsAnsweredAt + expectedMs <= candidate.latestAt) return
+    item.reject(new PulleystackError('NO_RUNNER', 'The model will not be loaded in time', {
+      retryAfterSeconds: this.computeRetryAfterSeconds(work, expectedMs),
+    }))
   }
 
   private estimateLoadMs ({ generation, service }: RoutedWork): number {
-    const served = service.serving?.models.find((model) => model.name === generation?.model)
-    const staying = this.opts.fleet.list(service.name).filter((backend) => !backend.entry.draining)
-    // Where the model is, an adapter is all that lacks, which comes in moments.
-    if (!served || staying.some((backend) => backend.hasWeights(served.name))) return 0
-    return estimateLoadMs(staying.map((backend) => backend.entry), served)
+    const servedModel = service.serving?.models.find((model) => model.name === generation?.model)
+    const servers = this.opts.fleet.list(service.name).filter((backend) => !backend.entry.draining)
+    // If a server holds the model, only the adapter is missing, which loads quickly.
+    if (!servedModel || servers.some((backend) => backend.hasWeights(servedModel.name))) return 0
+    return estimateLoadMs(servers.map((backend) => backend.entry), servedModel)
   }
 
-  /** When the client is told to come back: when a place is expected, or with the end of its time if that comes first. */
-  private spreadRetry (work: RoutedWork, expectedMs = RETRY_AFTER_SECONDS * 1_000): number {
+  /** Computes the retry delay: until a slot is expected, at most until the deadline, plus jitter. */
+  private computeRetryAfterSeconds (work: RoutedWork, expectedMs = DEFAULT_RETRY_AFTER_SECONDS * 1_000): number {
     const leftMs = Math.max(0, work.deadline - this.opts.clock.readTime())
-    return Math.min(expectedMs, leftMs) / 1_000 * (1 + this.opts.random.readFraction() * RETRY_SPREAD)
+    return Math.min(expectedMs, leftMs) / 1_000 * (1 + this.opts.random.readFraction() * RETRY_JITTER)
   }
 
-  private noteLimited (item: Waiting): void {
-    if (item.isLimitNoted) return
-    item.isLimitNoted = true
+  private recordLimits (item: WaitingRequest): void {
+    if (item.isLimitLogged) return
+    item.isLimitLogged = true
     this.opts.log.record(DecisionKinds.LIMIT_REACHED, { request: item.work.requestId, ...this.forecast.describeLimits(item.work) })
   }
 
-  private noteWaiting (item: Waiting): void {
+  private recordWaiting (item: WaitingRequest): void {
     const { generation, requestId, service } = item.work
     const weights = generation && nameWeights(generation.model, generation.adapter)
     const facts = { request: requestId, service: service.name, weights, reason: item.lastFailure, waiting: this.waiting.length }
     this.opts.log.record(DecisionKinds.REQUEST_WAITING, facts)
   }
 
-  private askForWeights (item: Waiting, isMore: boolean): void {
+  private requestWeights (item: WaitingRequest, isExtraCopy: boolean): void {
     const { clock, residency } = this.opts
-    if (!item.work.generation || clock.readTime() < item.askAgainAt) return
-    item.askAgainAt = clock.readTime() + ASK_AGAIN_MS
+    if (!item.work.generation || clock.readTime() < item.nextWeightsRequestAt) return
+    item.nextWeightsRequestAt = clock.readTime() + WEIGHTS_REQUEST_INTERVAL_MS
     const { model, adapter } = item.work.generation
     const waitMs = item.candidate.latestAt - clock.readTime()
-    void residency.requestWeights({ service: item.work.service.name, model, adapter, isMore, waitMs }).then((answer) => {
+    void residency.requestWeights({ service: item.work.service.name, model, adapter, isMore: isExtraCopy, waitMs }).then((answer) => {
       if (!this.waiting.includes(item)) return
-      item.needAnswer = answer
-      item.answeredAt = clock.readTime()
-      if (item.lastFailure === ChoiceFailures.NOT_RESIDENT) this.judgeWeights(item)
+      item.weightsAnswer = answer
+      item.weightsAnsweredAt = clock.readTime()
+      if (item.lastFailure === ChoiceFailures.NOT_RESIDENT) this.checkWeightsWait(item)
       else this.pump()
     })
   }
 }
 
-/** The client has a part of the answer. */
-function hasBegun (work: RoutedWork): boolean {
+function hasPartialAnswer (work: RoutedWork): boolean {
   return work.stream.events > 0
 }
--- a/gateway/routed/src/BackendSlot.ts
+++ b/gateway/routed/src/BackendSlot.ts
@@ -3,93 +3,93 @@
 import type { ServedTimes } from './SlotForecast.js'
 import type { RoutedWork } from './RoutedWork.js'
 
-/** What changed about a place. */
-export const PlaceChanges = {
-  TAKEN: 'taken',
-  /** A server that is taken up again after a rest may have more. */
-  CREDITED: 'credited',
-  /** The server has read the prompt. */
-  READ: 'read',
-  ENDED: 'ended',
-  /** It ended, and the right to send that the server's limit asked for was not used. */
+/** State changes of a slot. */
+export const SlotChanges = {
+  ACQUIRED: 'acquired',
+  /** A server that ramps up after a pause may accept more requests. */
+  RAMPING: 'ramping',
+  /** The server has processed the prompt. */
+  PREFILLED: 'prefilled',
+  RELEASED: 'released',
+  /** The slot is released without having used its permit for a rate-limited server. */
   UNSENT: 'unsent',
 } as const
-export type PlaceChange = typeof PlaceChanges[keyof typeof PlaceChanges]
+export type SlotChange = typeof SlotChanges[keyof typeof SlotChanges]
 
-/** The right to have one request at one backend server; must be ended. */
-export class BackendPlace {
-  private readonly takenAt: number
-  private prefilling: number
-  private ended = false
-  private readonly credit: CreditUse
-  private begunAt: number | undefined
-  private readonly suspects: number
-  /** A right to send to the server is used up once the request may have reached it. */
+/** A slot for one request at one backend server; must be released. */
+export class BackendSlot {
+  private readonly acquiredAt: number
+  private pendingPrefillTokens: number
+  private isReleased = false
+  private readonly rampUp: CreditUse
+  private prefilledAt: number | undefined
+  private readonly suspectCount: number
+  /** Whether the slot holds a permit that has not been used. */
   private hasPermit: boolean
 
   constructor (
     readonly choice: BackendChoice,
     private readonly work: RoutedWork,
     private readonly clock: Clock,
-    private readonly onChange: (change: PlaceChange) => void,
+    private readonly onChange: (change: SlotChange) => void,
   ) {
-    this.takenAt = clock.readTime()
-    this.suspects = work.isSuspect ? 1 : 0
-    this.prefilling = Math.max(0, (work.generation?.promptTokens ?? 0) - choice.keptTokens)
+    this.acquiredAt = clock.readTime()
+    this.suspectCount = work.isSuspect ? 1 : 0
+    this.pendingPrefillTokens = Math.max(0, (work.generation?.promptTokens ?? 0) - choice.keptTokens)
     const { own } = choice.backend
     own.running++
-    own.prefillTokens += this.prefilling
+    own.prefillTokens += this.pendingPrefillTokens
     own.cacheTokens += this.cacheTokens
-    own.suspects += this.suspects
+    own.suspects += this.suspectCount
     const { backoff, limit, permits } = choice.backend.stated
-    this.credit = backoff.take()
-    this.hasPermit = limit.perSecond !== undefined && permits.take(this.takenAt)
-    onChange(PlaceChanges.TAKEN)
+    this.rampUp = backoff.take()
+    this.hasPermit = limit.perSecond !== undefined && permits.take(this.acquiredAt)
+    onChange(SlotChanges.ACQUIRED)
   }
 
   get backend (): Backend {
     return this.choice.backend
   }
 
-  /** The request is on its way. */
+  /** Marks the permit as used: the request may reach the server from now on. */
   noteSent (): void {
     this.hasPermit = false
   }
 
-  /** The server took the request; after a rest more may be sent there by that. */
+  /** Records that the server accepted the request, which raises the ramp-up allowance after a pause. */
   noteAnswered (): void {
-    if (this.credit.noteAnswered()) this.onChange(PlaceChanges.CREDITED)
+    if (this.rampUp.noteAnswered()) this.onChange(SlotChanges.RAMPING)
   }
 
-  /** The server has read the prompt. */
+  /** Records that the server has processed the prompt. */
   notePrefilled (): void {
-    this.begunAt ??= this.clock.readTime()
+    this.prefilledAt ??= this.clock.readTime()
     this.releasePrefill()
   }
 
-  /** How long it was held, and until the answer began, in milliseconds; undefined while no answer has begun. */
+  /** Undefined until the prompt has been processed. */
   readTimes (): ServedTimes | undefined {
-    if (this.begunAt === undefined) return undefined
-    return { heldMs: this.clock.readTime() - this.takenAt, firstMs: this.begunAt - this.takenAt }
+    if (this.prefilledAt === undefined) return undefined
+    return { heldMs: this.clock.readTime() - this.acquiredAt, firstOutputMs: this.prefilledAt - this.acquiredAt }
   }
 
   private releasePrefill (): void {
-    if (this.prefilling === 0) return
-    this.backend.own.prefillTokens -= this.prefilling
-    this.prefilling = 0
-    this.onChange(PlaceChanges.READ)
+    if (this.pendingPrefillTokens === 0) return
+    this.backend.own.prefillTokens -= this.pendingPrefillTokens
+    this.pendingPrefillTokens = 0
+    this.onChange(SlotChanges.PREFILLED)
   }
 
-  end (): void {
-    if (this.ended) return
-    this.ended = true
+  release (): void {
+    if (this.isReleased) return
+    this.isReleased = true
     this.releasePrefill()
     this.backend.own.running--
     this.backend.own.cacheTokens -= this.cacheTokens
-    this.backend.own.suspects -= this.suspects
-    this.credit.end()
-    if (this.hasPermit) this.onChange(PlaceChanges.UNSENT)
-    this.onChange(PlaceChanges.ENDED)
+    this.backend.own.suspects -= this.suspectCount
+    this.rampUp.end()
+    if (this.hasPermit) this.onChange(SlotChanges.UNSENT)
+    this.onChange(SlotChanges.RELEASED)
   }
 
   private get cacheTokens (): number {
--- a/gateway/routed/src/ClientAnswer.ts
+++ b/gateway/routed/src/ClientAnswer.ts
@@ -5,21 +5,21 @@
 import type { ExchangeAnswer } from '@pulleystack/routing.forward'
 import { RELAY_HEADER_NAMES, RelayHeaders } from './relayHeaders.js'
 
-const NOT_PASSED_ON = new Set<string>(['content-length', ...RELAY_HEADER_NAMES])
+const OMITTED_HEADERS = new Set<string>(['content-length', ...RELAY_HEADER_NAMES])
 const DEFAULT_RETRY_SECONDS = 0.25
-/** Answers that tell when to come back. */
+/** Statuses that are sent with a Retry-After header. */
 const RETRY_STATUSES: ReadonlySet<number> = new Set([429, 503])
 
 export interface ClientAnswerOptions {
   response: http.ServerResponse
   ownHeaders: Record<string, string>
-  /** The version of the configuration that answers, for the instance that handed the request on; undefined for a client's own. */
+  /** Reads the configuration version to report to the instance that relayed the request; undefined for a direct request. */
   readRelayVersion?: () => number | undefined
-  /** The connection is to close after this answer. */
+  /** Whether the connection has to close after this response. */
   mustClose: () => boolean
 }
 
-/** The answer to one client; it begins once, and never looks whole unless it is. */
+/** The response to one client. An incomplete response is never made to look complete. */
 export class ClientAnswer {
   constructor (private readonly opts: ClientAnswerOptions) {}
 
@@ -27,25 +27,25 @@
     return this.opts.response.headersSent
   }
 
-  /** Passes a whole answer of a backend server on. */
-  sendWhole (answer: ExchangeAnswer, body: Buffer): void {
-    const headers = listEndToEnd(answer.rawHeaders, NOT_PASSED_ON)
+  /** Sends a complete response of a backend server. */
+  sendBuffered (answer: ExchangeAnswer, body: Buffer): void {
+    const headers = listEndToEnd(answer.rawHeaders, OMITTED_HEADERS)
     if (answer.status !== 204 && answer.status !== 304) headers.push('Content-Length', String(body.length))
     this.writeHead(answer, headers)
     this.opts.response.end(body)
   }
 
-  /** Begins to pass a stream on. */
+  /** Sends the head of a streamed response. */
   beginStream (answer: ExchangeAnswer): void {
-    this.writeHead(answer, listEndToEnd(answer.rawHeaders, NOT_PASSED_ON))
+    this.writeHead(answer, listEndToEnd(answer.rawHeaders, OMITTED_HEADERS))
   }
 
-  /** Passes bytes on; false when the client should be waited for with `onDrain`. */
+  /** Returns false when the caller should wait for `onDrain` before writing more. */
   write (bytes: Buffer): boolean {
     return this.opts.response.write(bytes)
   }
 
-  /** Calls once the client's connection takes more. */
+  /** Calls `resume` once the connection has drained. */
   onDrain (resume: () => void): void {
     this.opts.response.once('drain', resume)
   }
@@ -54,23 +54,23 @@
     this.opts.response.end()
   }
 
-  /** Ends the connection in the midst of the answer, so that nobody takes it for whole. */
-  breakOff (): void {
+  /** Closes the connection, so that the client does not take the response for complete. */
+  destroy (): void {
     this.opts.response.destroy()
   }
 
-  /** Answers with an error of the system's own, or breaks the answer off when it has begun. */
+  /** Sends an error response, or closes the connection when a response has begun. */
   sendError (error: PulleystackError, requestId: string | undefined): void {
     const { response } = this.opts
     if (response.headersSent) {
-      this.breakOff()
+      this.destroy()
       return
     }
     const body = JSON.stringify(error.renderBody(requestId))
     const headers: http.OutgoingHttpHeaders = { ...this.opts.ownHeaders, 'content-type': 'application/json', 'content-length': Buffer.byteLength(body) }
     const status = chooseStatus(error)
     if (RETRY_STATUSES.has(status)) headers['retry-after'] = formatSeconds(error.retryAfterSeconds ?? DEFAULT_RETRY_SECONDS)
-    // What is left of a body that was not read would be taken for the next request.
+    // The unread rest of a request body would be parsed as the next request.
     if (this.opts.mustClose() || !response.req.complete) headers['connection'] = 'close'
     const version = this.opts.readRelayVersion?.()
     if (version !== undefined) headers[RelayHeaders.VERSION] = String(version)
@@ -87,7 +87,7 @@
   }
 }
 
-/** 503 is a promise that the request has not run and never will; 502 and 504 promise nothing. */
+/** 503 guarantees that the request has not run and never will; 502 and 504 guarantee nothing. */
 export function chooseStatus (error: PulleystackError): number {
   const { status } = error.row
   if (status < 500) return status
--- a/gateway/routed/src/InstanceRelay.ts
+++ b/gateway/routed/src/InstanceRelay.ts
@@ -7,32 +7,32 @@
 import type { ClientAnswer } from './ClientAnswer.js'
 import { RelayHeaders } from './relayHeaders.js'
 
-/** An instance in another data hall is connected to within a few milliseconds, unless it is gone. */
-const CONNECT_MS = 300
-/** Instances that are tried for one request; those that are gone leave the list within moments. */
+/** Far longer than connecting to another data hall takes. */
+const CONNECT_TIMEOUT_MS = 300
+/** Instances tried for one request. */
 const MAX_TARGETS = 3
-/** By then another instance has stepped in or a link is back. */
+/** Time for another instance to start serving, or for a link to recover. */
 const NO_TARGET_RETRY_SECONDS = 0.5
-/** Largest answer that is held whole before it is passed on. */
+/** Largest response buffered before it is forwarded. */
 const MAX_BODY_BYTES = 32 << 20
 
-/** An instance that serves. */
+/** A serving instance. */
 export interface RelayTarget {
   instance: string
-  /** host:port where clients connect. */
+  /** host:port for client connections. */
   address: string
 }
 
-/** A request that is to be answered by another instance. */
+/** A request to be served by another instance. */
 export interface RelayedRequest {
   requestId: string | undefined
   method: string
-  /** Path and query, as the client sent them. */
+  /** Path and query as sent by the client. */
   path: string
-  /** Names and values by turns, as the client sent them. */
+  /** Alternating names and values as sent by the client. */
   rawHeaders: readonly string[]
   body: Buffer | undefined
-  /** Monotone time by which its client has left; undefined when it names none. */
+  /** Monotone time in milliseconds after which the client no longer waits; undefined if it set none. */
   deadline: number | undefined
   signal: AbortSignal
 }
@@ -42,46 +42,46 @@
   agent: BackendAgent
   protocol: RoutedProtocol
   log: DecisionLog
-  /** Instances that serve and have a live link, the preferred one first. */
+  /** Lists serving instances with a live link, the preferred one first. */
   listTargets: () => readonly RelayTarget[]
 }
 
 /**
- * Hands requests on to an instance that serves, for one that stands by or has no configuration yet. What the instances of a large system tell each
- * other grows with the number of those that know all backend servers, so that only a part of them does; every other one still answers what reaches it.
+ * Forwards requests to a serving instance, for an instance that is on standby or has no configuration yet. Only some instances of a large system track
+ * all backend servers, to bound the traffic between instances; the others relay the requests that reach them.
  */
 export class InstanceRelay {
-  private newest = -Infinity
+  private latestVersion = -Infinity
 
   constructor (private readonly opts: InstanceRelayOptions) {}
 
-  /** Whether a request that comes now would find an instance that serves. */
+  /** Whether a serving instance is linked now. */
   get isReady (): boolean {
     return this.opts.listTargets().length > 0
   }
 
-  /** The newest configuration by which a relayed request was answered; no client of this instance may see an older one afterwards. */
+  /** Newest configuration version that has served a relayed request; later requests must not be served with an older one. */
   get newestVersion (): number {
-    return this.newest
+    return this.latestVersion
   }
 
-  /** Passes on the answer of an instance that serves; rejects with `ran: no` when none was reached or all know older configurations only. */
+  /** Relays the response of a serving instance; rejects with `ran: no` if none was reached or all of them have older configurations. */
   async run (request: RelayedRequest, client: ClientAnswer): Promise<void> {
-    let failure = createNoTarget()
+    let failure = createNoTargetError()
     for (const target of this.opts.listTargets().slice(0, MAX_TARGETS)) {
-      const answer = await this.ask(target, request)
+      const answer = await this.send(target, request)
       if (answer instanceof PulleystackError) {
         failure = answer
         continue
       }
-      await passOn(answer, client)
+      await relayAnswer(answer, client)
       return
     }
     throw failure
   }
 
-  /** Gives the answer, or the error of an instance that has surely not run the request, so that another may. */
-  private async ask (target: RelayTarget, request: RelayedRequest): Promise<ExchangeAnswer | PulleystackError> {
+  /** Returns the response, or the error of an instance that is known not to have run the request, so that another one can be tried. */
+  private async send (target: RelayTarget, request: RelayedRequest): Promise<ExchangeAnswer | PulleystackError> {
     this.opts.log.record(DecisionKinds.REQUEST_RELAYED, { request: request.requestId, peer: target.instance })
     try {
       const answer = await openExchange({
@@ -94,7 +94,7 @@
         headers: this.buildHeaders(request),
         body: request.body,
         requestId: request.requestId,
-        connectMs: CONNECT_MS,
+        connectMs: CONNECT_TIMEOUT_MS,
         signal: request.signal,
       })
       this.noteVersion(answer)
@@ -102,8 +102,8 @@
     } catch (thrown) {
       const error = convertToError(thrown)
       if (request.signal.aborted) throw error
-      if (error.code === 'ATTEMPT_FAILED_NOT_RUN') return createNoTarget(error)
-      if (error.code === 'BACKEND_REFUSED') return createOutdated(error)
+      if (error.code === 'ATTEMPT_FAILED_NOT_RUN') return createNoTargetError(error)
+      if (error.code === 'BACKEND_REFUSED') return createOutdatedError(error)
       throw error
     }
   }
@@ -112,11 +112,11 @@
     const leftMs = request.deadline === undefined ? undefined : Math.max(1, Math.floor(request.deadline - this.opts.clock.readTime()))
     const headers = this.opts.protocol.buildRelayHeaders(request.rawHeaders, leftMs)
     if (request.body !== undefined) headers.push('Content-Length', String(request.body.length))
-    headers.push(RelayHeaders.MIN_VERSION, String(Math.max(0, this.newest)))
+    headers.push(RelayHeaders.MIN_VERSION, String(Math.max(0, this.latestVersion)))
     return headers
   }
 
-  /** An answer of the instance's own is as good as a server's; only one that knows an older configuration is asked in vain. */
+  /** Any response of an instance is final, unless it reports an outdated configuration. */
   private readAnswer (status: number, headers: IncomingHttpHeaders): AnswerFacts {
     const { requestId } = this.opts.protocol.readAnswer(status, headers)
     return { requestId, signed: true, notRun: headers[RelayHeaders.OUTDATED] !== undefined }
@@ -124,13 +124,13 @@
 
   private noteVersion (answer: ExchangeAnswer): void {
     const version = Number(findHeader(answer, RelayHeaders.VERSION))
-    if (version > this.newest) this.newest = version
+    if (version > this.latestVersion) this.latestVersion = version
   }
 }
 
-async function passOn (answer: ExchangeAnswer, client: ClientAnswer): Promise<void> {
+async function relayAnswer (answer: ExchangeAnswer, client: ClientAnswer): Promise<void> {
   if (findHeader(answer, 'content-length') !== undefined) {
-    client.sendWhole(answer, await answer.readWhole(MAX_BODY_BYTES))
+    client.sendBuffered(answer, await answer.readWhole(MAX_BODY_BYTES))
     return
   }
   client.beginStream(answer)
@@ -147,10 +147,10 @@
   return at < 0 ? undefined : answer.rawHeaders[at + 1]
 }
 
-function createNoTarget (cause?: PulleystackError): PulleystackError {
-  return new PulleystackError('NO_RUNNER', 'No instance that serves can be reached', { retryAfterSeconds: NO_TARGET_RETRY_SECONDS, cause })
+function createNoTargetError (cause?: PulleystackError): PulleystackError {
+  return new PulleystackError('NO_RUNNER', 'No serving instance is reachable', { retryAfterSeconds: NO_TARGET_RETRY_SECONDS, cause })
 }
 
-function createOutdated (cause: PulleystackError): PulleystackError {
-  return new PulleystackError('NO_RUNNER', 'No instance that was reached knows the newest routes', { retryAfterSeconds: NO_TARGET_RETRY_SECONDS, cause })
+function createOutdatedError (cause: PulleystackError): PulleystackError {
+  return new PulleystackError('NO_RUNNER', 'No reachable instance has a recent enough configuration', { retryAfterSeconds: NO_TARGET_RETRY_SECONDS, cause })
 }
--- a/gateway/routed/src/QuotaGate.ts
+++ b/gateway/routed/src/QuotaGate.ts
@@ -3,7 +3,7 @@
 import type { TeamLimits } from '@pulleystack/routing.limits'
 import { DecisionKinds, type DecisionLog } from '@pulleystack/timeline.decisions'
 
-/** What became of units that a team's requests asked for. */
+/** Outcomes of the quota units that a team's requests need. */
 export const QuotaOutcomes = { GRANTED: 'granted', REFUSED: 'refused', GIVEN_BACK: 'given-back' } as const
 export type QuotaOutcome = typeof QuotaOutcomes[keyof typeof QuotaOutcomes]
 
@@ -13,29 +13,28 @@
   onUnits: (team: string, outcome: QuotaOutcome, units: number) => void
 }
 
-/** A request that asks to be let in. */
-interface Asking {
+interface AdmissionRequest {
   requestId: string | undefined
   team: Team | undefined
-  /** Tokens that it names. */
+  /** Tokens declared by the request. */
   tokens: number | undefined
 }
 
-/** What a request took out of its team's quota. */
+/** Quota units used by a request. */
 export interface QuotaUse {
-  /** To be called with the error by which it ended: what surely never ran counts for nothing. */
+  /** Returns the units when the error says that the request never ran. */
   settle: (error: PulleystackError) => void
 }
 
-const NO_USE: QuotaUse = { settle: () => undefined }
+const NO_QUOTA_USE: QuotaUse = { settle: () => undefined }
 
-/** Lets requests of teams in that are inside their quotas; each is counted once, whatever becomes of its attempts. */
+/** Enforces the quotas of teams. Each request is counted once, however many attempts it takes. */
 export class QuotaGate {
   constructor (private readonly opts: QuotaGateOptions) {}
 
-  /** Rejects with a refusal when the request is beyond its team's quota. */
-  async admit ({ requestId, team, tokens }: Asking): Promise<QuotaUse> {
-    if (!team?.quota) return NO_USE
+  /** Rejects with RATE_EXCEEDED when the request exceeds the quota of its team. */
+  async admit ({ requestId, team, tokens }: AdmissionRequest): Promise<QuotaUse> {
+    if (!team?.quota) return NO_QUOTA_USE
     const { log, limits, onUnits } = this.opts
     const units = countUnits(team.quota, tokens)
     const verdict = await limits.acquire(team, units)
@@ -43,7 +42,7 @@
       const retryAfterMs = Math.round(verdict.retryAfterMs)
       onUnits(team.name, QuotaOutcomes.REFUSED, units)
       log.record(DecisionKinds.QUOTA_REFUSED, { request: requestId, team: team.name, units, retryAfterMs })
-      throw new PulleystackError('RATE_EXCEEDED', 'The request is beyond the quota of its team', { retryAfterSeconds: retryAfterMs / 1000 })
+      throw new PulleystackError('RATE_EXCEEDED', 'The request exceeds the quota of its team', { retryAfterSeconds: retryAfterMs / 1000 })
     }
     onUnits(team.name, QuotaOutcomes.GRANTED, units)
     const settle = (error: PulleystackError): void => {
--- a/gateway/routed/src/RequestAborter.ts
+++ b/gateway/routed/src/RequestAborter.ts
@@ -1,63 +1,65 @@
 import type http from 'node:http'
 import { PulleystackError, Ran, convertToError } from '@pulleystack/core.errors'
 
-/** Settles as the promise does, or rejects with the signal's reason when that is aborted before. */
-export function endWith<T> (signal: AbortSignal, promise: Promise<T>): Promise<T> {
+/** Settles like the promise, or rejects with the signal's reason if it is aborted first. */
+export function waitUnlessAborted<T> (signal: AbortSignal, promise: Promise<T>): Promise<T> {
   return new Promise<T>((resolve, reject) => {
-    const abort = (): void => reject(convertToError(signal.reason))
-    signal.addEventListener('abort', abort, { once: true })
-    if (signal.aborted) abort()
-    promise.then(resolve, reject).finally(() => signal.removeEventListener('abort', abort))
+    const handleAbort = (): void => reject(convertToError(signal.reason))
+    signal.addEventListener('abort', handleAbort, { once: true })
+    if (signal.aborted) handleAbort()
+    promise.then(resolve, reject).finally(() => signal.removeEventListener('abort', handleAbort))
   })
 }
 
-/** Resolves once an answer has ended and nothing of it waits in the process for a client that reads slowly, or its connection has closed. */
+/** Resolves when the response has been flushed to the connection, or the connection has closed. */
 export function waitUntilSent (response: http.ServerResponse): Promise<void> {
   const { socket } = response.req
   if (socket.destroyed) return Promise.resolve()
   return new Promise((resolve) => {
-    const leave = (): void => {
-      response.off('finish', leave)
-      socket.off('close', leave)
+    const finish = (): void => {
+      response.off('finish', finish)
+      socket.off('close', finish)
       resolve()
     }
-    response.once('finish', leave)
-    socket.once('close', leave)
+    response.once('finish', finish)
+    socket.once('close', finish)
   })
 }
 
-/** How one request ends before its answer does. */
-export interface RequestEnd {
+/** Aborts one request. */
+export interface RequestAborter {
   signal: AbortSignal
-  /** The request's time is over. */
+  /** Aborts the request because its deadline has passed. */
   expire: () => void
-  /** The instance ends before the request could. */
-  abandon: () => void
-  /** It is known by now that the request can't be served. */
-  refuse: (error: PulleystackError) => void
-  /** The reason for which the request ended, or what went wrong by itself. */
+  /** Aborts the request because the instance is shutting down. */
+  stop: () => void
+  /** Aborts a request that has turned out not to be servable. */
+  reject: (error: PulleystackError) => void
+  /** Returns the reason of the abort with what is known about whether the request ran, or the error itself if it was not aborted. */
   explain: (error: PulleystackError) => PulleystackError
   release: () => void
 }
 
-/** Ends a request when its client goes or its time is over. */
-export function createRequestEnd (response: http.ServerResponse): RequestEnd {
-  const abort = new AbortController()
-  const leave = (): void => {
-    if (!response.writableFinished) abort.abort(new PulleystackError('CALLER_GONE', 'The client went away'))
+/** Also aborts the request when its client closes the connection. */
+export function createRequestAborter (response: http.ServerResponse): RequestAborter {
+  const controller = new AbortController()
+  const handleClose = (): void => {
+    if (!response.writableFinished) controller.abort(new PulleystackError('CALLER_GONE', 'The client closed the connection'))
   }
-  response.once('close', leave)
+  response.once('close', handleClose)
   return {
-    signal: abort.signal,
-    expire: () => abort.abort(new PulleystackError('DEADLINE_UNKNOWN', 'The time of the request is over')),
-    abandon: () => abort.abort(new PulleystackError('INSTANCE_STOPPING', 'This instance ends before the request could', { retryAfterSeconds: 0 })),
-    refuse: (error) => abort.abort(error),
+    signal: controller.signal,
+    expire: () => controller.abort(new PulleystackError('DEADLINE_UNKNOWN', 'The deadline of the request has passed')),
+    stop: () => controller.abort(
+      new PulleystackError('INSTANCE_STOPPING', 'This instance is shutting down and cannot finish the request', { retryAfterSeconds: 0 }),
+    ),
+    reject: (error) => controller.abort(error),
     explain: (error) => {
-      const reason: unknown = abort.signal.reason
+      const reason: unknown = controller.signal.reason
       if (!(reason instanceof PulleystackError)) return error
       const { retryAfterSeconds } = reason
       return new PulleystackError(reason.code, reason.message, { cause: error, ran: error.ran === Ran.NO ? Ran.NO : Ran.UNKNOWN, retryAfterSeconds })
     },
-    release: () => response.off('close', leave),
+    release: () => response.off('close', handleClose),
   }
 }
--- a/gateway/routed/src/RoutedGateway.ts
+++ b/gateway/routed/src/RoutedGateway.ts
@@ -15,28 +15,28 @@
 import { UnfinishedRequest, type UnfinishedFacts } from './UnfinishedRequest.js'
 import type { InstanceRelay } from './InstanceRelay.js'
 import { RELAY_HEADER_NAMES, readMinVersion } from './relayHeaders.js'
-import { createRequestEnd, endWith, waitUntilSent, type RequestEnd } from './RequestAborter.js'
+import { createRequestAborter, waitUnlessAborted, waitUntilSent, type RequestAborter } from './RequestAborter.js'
 import { runRequest, type RunOptions } from './runRequest.js'
 import { waitForReads } from './waitForReads.js'
 
 const UNCONFIGURED_RETRY_SECONDS = 0.5
-/** By then a client asks another instance, or this one has asked the store twice more. */
+/** Time for this instance to receive the newest configuration. */
 const OUTDATED_RETRY_SECONDS = 0.5
-const GONE_STATUS = 499
-/** A request that is handed on and has no deadline of its own is given up after this time; no route of the users' pages lasts longer. */
-const RELAY_MS = 30_000
-/** Largest body that is handed on; the instance that serves knows the limit in force. */
-const RELAY_BODY_BYTES = 32 << 20
-/** A client that has not taken an ended answer by then reads no more; it is longer than any deadline that the users' pages show (20 s). */
-const UNREAD_MS = 30_000
+const CLIENT_CLOSED_STATUS = 499
+/** Time limit for relaying a request; a shorter one of the client takes precedence. */
+const RELAY_TIMEOUT_MS = 30_000
+/** The serving instance enforces the configured limit. */
+const MAX_RELAY_BODY_BYTES = 32 << 20
+/** Time after which the connection of a client that does not read a finished response is closed. */
+const UNREAD_ANSWER_TIMEOUT_MS = 30_000
 
-/** A routed request that was answered or given up, for metrics. */
+/** Outcome of a routed request, for metrics. */
 export interface RoutedOutcome {
   route: string
   service: string
   status: number
   code: string
-  /** Why it was not served; undefined when it was. */
+  /** Error message of a failed request. */
   reason?: string
   ms: number
 }
@@ -44,24 +44,24 @@
 export interface RoutedGatewayOptions extends RunOptions {
   protocol: RoutedProtocol
   residency: ResidencyClient
-  /** Hands requests on while no configuration is known here; undefined where each instance answers for itself. */
+  /** Relays requests while this instance has no recent configuration; undefined where each instance serves its own requests. */
   relay?: InstanceRelay
-  /** Keeps the quotas of teams; undefined where none are kept. */
+  /** Undefined where team quotas are not enforced. */
   quotas?: QuotaGate | undefined
-  /** Counts a client's request at a service for the budget of further attempts. */
+  /** Counts a request for the retry budget of the service. */
   countRequest: (service: string) => void
-  /** The routes in force; undefined until a configuration is known. */
+  /** Reads the routes in force; undefined until a configuration has been received. */
   readTable: () => RouteTable | undefined
-  /** Whether the routes in force are surely those that have to be; false when a newer configuration may have others. */
+  /** Whether the routes in force are known to be the newest. */
   isTableCurrent: () => boolean
-  /** Whether a request that may last until the deadline may begin; false when the process ends before. */
+  /** Whether a request with this deadline may begin; false when the process will stop before it. */
   mayBegin: (deadline: number) => boolean
-  /** Connections are to close after their current answer. */
+  /** Whether connections have to close after their current response. */
   mustClose: () => boolean
   onOutcome: (outcome: RoutedOutcome) => void
 }
 
-/** A request whose head has come and whose route and team are known. */
+/** A request with its route and team, before its body has been read. */
 interface ArrivedRequest {
   table: RouteTable
   route: Route
@@ -73,68 +73,67 @@
   signal: AbortSignal
 }
 
-/** A request whose head has come and that another instance is to answer. */
+/** A request to be served by another instance, before its body has been read. */
 interface RequestToRelay {
   facts: RoutedRequestFacts
   request: http.IncomingMessage
   arrivedAt: number
-  end: RequestEnd
+  aborter: RequestAborter
 }
 
-/** A request that was answered or given up. */
 interface EndedRequest {
   outcome: RoutedOutcome
   facts: RoutedRequestFacts
   response: http.ServerResponse
   arrivedAt: number
-  /** Undefined for plain answers. */
+  /** Undefined for plain responses. */
   stream: StreamProgress | undefined
 }
 
 /** Serves routed requests. */
 export class RoutedGateway {
   private active = 0
-  private readonly ends = new Set<RequestEnd>()
-  /** Holds requests longer than `ends`, until their answers have left. */
+  private readonly aborters = new Set<RequestAborter>()
+  /** Requests whose responses have not been flushed; kept longer than `aborters`. */
   private readonly unfinished = new Set<UnfinishedRequest>()
-  /** Requests that are run or wait for it. */
-  private readonly works = new Map<RoutedWork, RequestEnd>()
+  /** Requests that are running or waiting for a slot. */
+  private readonly requestsInProgress = new Map<RoutedWork, RequestAborter>()
   private readonly firstTries: FirstTries
 
   constructor (private readonly opts: RoutedGatewayOptions) {
     this.firstTries = new FirstTries(opts.clock)
-    opts.suspects.changes.subscribe((identity) => this.endRefused(identity))
+    opts.suspects.changes.subscribe((identity) => this.cancelRejected(identity))
   }
 
-  /** Requests that have not been answered whole, or whose answers have not left for their clients' connections. */
+  /** Number of requests whose responses have not been completely flushed to their connections. */
   get inFlight (): number {
     return this.active
   }
 
-  /** The oldest requests whose answers have not left whole. */
+  /** Lists the oldest requests whose responses have not been completely flushed. */
   listUnfinished (limit: number): UnfinishedFacts[] {
     const now = this.opts.clock.readTime()
     return [...this.unfinished].slice(0, limit).map((unfinished) => unfinished.describe(now))
   }
 
-  /**
-   * Gives every request its final answer now, or breaks off an answer that has begun, since the process is about to end. Gives the number of
-   * requests.
-   */
+  /** Fails every request because the process is about to exit; responses that have begun are cut off. Returns the number of requests. */
   cancelAll (): number {
-    const count = this.ends.size
-    for (const end of this.ends) end.abandon()
+    const count = this.aborters.size
+    for (const aborter of this.aborters) aborter.stop()
     return count
   }
 
-  /** Serves one request, whose head came at a monotone time, until its answer has left or its connection has closed; never rejects. */
+  /**
+   * Serves one request until its response has been flushed or its connection has closed; never rejects. `arrivedAt` is the monotone time in
+   * milliseconds at which its head arrived.
+   */
   async handle (request: http.IncomingMessage, response: http.ServerResponse, arrivedAt = this.opts.clock.readTime()): Promise<void> {
     this.active++
     const sent = waitUntilSent(response)
     await this.answer(request, response, arrivedAt)
-    const cancel = this.opts.clock.setTimer(UNREAD_MS, () => response.destroy())
+    const cancelTimer = this.opts.clock.setTimer(UNREAD_ANSWER_TIMEOUT_MS, () => response.destroy())
     await sent
-    cancel()
+    cancelTimer()
     this.active--
   }
 
@@ -150,13 +149,13 @@
     let stream: StreamProgress | undefined
     let quotaUse: QuotaUse | undefined
     const outcome: RoutedOutcome = { route: '', service: '', status: 0, code: 'OK', ms: 0 }
-    const end = createRequestEnd(response)
-    this.ends.add(end)
+    const aborter = createRequestAborter(response)
+    this.aborters.add(aborter)
     const unfinished = this.noteUnfinished(facts.requestId, response, arrivedAt)
     try {
       const table = this.findTable(minVersion)
       if (table === undefined) {
-        await this.relay({ facts, request, arrivedAt, end }, client)
+        await this.relay({ facts, request, arrivedAt, aborter }, client)
         return
       }
       const route = this.findRoute(table, request)
@@ -164,41 +163,41 @@
       const team = findTeam({ table, route, facts, isTableCurrent: this.opts.isTableCurrent })
       const deadline = arrivedAt + Math.min(route.timeoutMs, facts.waitMs ?? Infinity)
       this.checkMayBegin(deadline)
-      await endWith(end.signal, waitForReads())
-      quotaUse = await endWith(end.signal, this.admit(facts, team))
-      const work = await this.readWork({ table, route, team, facts, request, arrivedAt, deadline, signal: end.signal })
+      await waitUnlessAborted(aborter.signal, waitForReads())
+      quotaUse = await waitUnlessAborted(aborter.signal, this.admit(facts, team))
+      const work = await this.createWork({ table, route, team, facts, request, arrivedAt, deadline, signal: aborter.signal })
       unfinished.work = work
-      // Its body may have taken a while.
+      // Reading the body may have taken long.
       this.checkMayBegin(deadline)
       outcome.service = work.service.name
       if (route.streams) stream = work.stream
-      const cancel = this.opts.clock.setTimer(Math.max(0, work.deadline - this.opts.clock.readTime()), () => end.expire())
-      const endInHand = this.noteDemand(work)
-      this.works.set(work, end)
+      const cancelTimer = this.opts.clock.setTimer(Math.max(0, work.deadline - this.opts.clock.readTime()), () => aborter.expire())
+      const endDemand = this.noteDemand(work)
+      this.requestsInProgress.set(work, aborter)
       await runRequest(this.opts, work, client).finally(() => {
-        this.works.delete(work)
-        cancel()
-        endInHand()
+        this.requestsInProgress.delete(work)
+        cancelTimer()
+        endDemand()
       })
     } catch (thrown) {
-      const error = end.explain(convertToError(thrown))
+      const error = aborter.explain(convertToError(thrown))
       quotaUse?.settle(error)
       outcome.code = error.code
       outcome.reason = error.message
-      outcome.status = error.code === 'CALLER_GONE' ? GONE_STATUS : chooseStatus(error)
+      outcome.status = error.code === 'CALLER_GONE' ? CLIENT_CLOSED_STATUS : chooseStatus(error)
       client.sendError(error, facts.requestId)
     } finally {
-      end.release()
-      this.ends.delete(end)
-      this.noteEnd({ outcome, facts, response, arrivedAt, stream })
+      aborter.release()
+      this.aborters.delete(aborter)
+      this.recordOutcome({ outcome, facts, response, arrivedAt, stream })
     }
   }
 
-  /** Refuses those that wait and turn out to be the same request under which servers end. */
-  private endRefused (identity: string): void {
-    for (const [work, end] of this.works) {
-      const refusal = this.opts.queue.isWaiting(work) ? this.opts.suspects.findRefusal(work, identity) : undefined
-      if (refusal) end.refuse(refusal)
+  /** Rejects waiting requests with this identity if they have been confirmed to crash servers. */
+  private cancelRejected (identity: string): void {
+    for (const [work, aborter] of this.requestsInProgress) {
+      const rejection = this.opts.queue.isWaiting(work) ? this.opts.suspects.findRejection(work, identity) : undefined
+      if (rejection) aborter.reject(rejection)
     }
   }
 
@@ -215,32 +214,32 @@
 
   private checkMayBegin (deadline: number): void {
     if (this.opts.mayBegin(deadline)) return
-    throw new PulleystackError('INSTANCE_STOPPING', 'This instance ends before the request may', { retryAfterSeconds: 0 })
+    throw new PulleystackError('INSTANCE_STOPPING', 'This instance will shut down before the deadline of the request', { retryAfterSeconds: 0 })
   }
 
-  /** The routes in force; undefined when another instance is to answer. A request that was handed on is not handed on again. */
+  /** Returns the routes in force, or undefined if the request has to be relayed. A relayed request is not relayed again. */
   private findTable (minVersion: number | undefined): RouteTable | undefined {
     const { relay, readTable } = this.opts
     const table = readTable()
     const isRecent = table !== undefined && table.config.version >= (minVersion ?? relay?.newestVersion ?? -Infinity)
     if (isRecent) return table
     if (minVersion === undefined && relay?.isReady) return undefined
-    if (table) throw new PulleystackError('CONFIG_OUTDATED', 'Newer routes are in force elsewhere', { retryAfterSeconds: OUTDATED_RETRY_SECONDS })
+    if (table) throw new PulleystackError('CONFIG_OUTDATED', 'Another instance has a newer configuration', { retryAfterSeconds: OUTDATED_RETRY_SECONDS })
     throw new PulleystackError('CONFIG_OUTDATED', 'This instance has no configuration yet', { retryAfterSeconds: UNCONFIGURED_RETRY_SECONDS })
   }
 
-  /** Hands a request on to an instance that serves, and passes its answer on. */
-  private async relay ({ facts, request, arrivedAt, end }: RequestToRelay, client: ClientAnswer): Promise<void> {
-    const deadline = arrivedAt + Math.min(RELAY_MS, facts.waitMs ?? Infinity)
+  /** Forwards a request to a serving instance and relays its response. */
+  private async relay ({ facts, request, arrivedAt, aborter }: RequestToRelay, client: ClientAnswer): Promise<void> {
+    const deadline = arrivedAt + Math.min(RELAY_TIMEOUT_MS, facts.waitMs ?? Infinity)
     this.checkMayBegin(deadline)
-    const cancel = this.opts.clock.setTimer(Math.max(0, deadline - this.opts.clock.readTime()), () => end.expire())
+    const cancel = this.opts.clock.setTimer(Math.max(0, deadline - this.opts.clock.readTime()), () => aborter.expire())
     try {
-      await endWith(end.signal, waitForReads())
-      const body = await readRequestBody(request, RELAY_BODY_BYTES, end.signal)
+      await waitUnlessAborted(aborter.signal, waitForReads())
+      const body = await readRequestBody(request, MAX_RELAY_BODY_BYTES, aborter.signal)
       const { method = 'GET', url: path = '/', rawHeaders } = request
       const clientDeadline = facts.waitMs === undefined ? undefined : arrivedAt + facts.waitMs
       const { requestId } = facts
-      await this.opts.relay?.run({ requestId, method, path, rawHeaders, body, deadline: clientDeadline, signal: end.signal }, client)
+      await this.opts.relay?.run({ requestId, method, path, rawHeaders, body, deadline: clientDeadline, signal: aborter.signal }, client)
     } finally {
       cancel()
     }
@@ -250,15 +249,15 @@
     const path = (request.url ?? '/').split('?', 1)[0] as string
     const route = table.findRoute(request.headers.host ?? '', path)
     if (route) return route
-    if (this.opts.isTableCurrent()) throw new PulleystackError('NOT_FOUND', 'No route takes this host and path')
-    throw new PulleystackError('NO_RUNNER', 'This instance may not know the newest routes', { retryAfterSeconds: OUTDATED_RETRY_SECONDS })
+    if (this.opts.isTableCurrent()) throw new PulleystackError('NOT_FOUND', 'No route matches this host and path')
+    throw new PulleystackError('NO_RUNNER', 'This instance may not have the newest routes', { retryAfterSeconds: OUTDATED_RETRY_SECONDS })
   }
 
-  private async readWork (it: ArrivedRequest): Promise<RoutedWork> {
-    const { table, route, team, facts, request } = it
+  private async createWork (arrived: ArrivedRequest): Promise<RoutedWork> {
+    const { table, route, team, facts, request } = arrived
     const name = chooseTarget(route, this.opts.random)
     const service = table.findService(name) ?? { name, maxConnections: 0, serving: undefined }
-    const body = await readRequestBody(request, table.config.limits.bodyBytes, it.signal)
+    const body = await readRequestBody(request, table.config.limits.bodyBytes, arrived.signal)
     return {
       requestId: facts.requestId ?? '',
       facts,
@@ -272,30 +271,30 @@
       path: request.url ?? '/',
       rawHeaders: listEndToEnd(request.rawHeaders, RELAY_HEADER_NAMES),
       body,
-      arrivedAt: it.arrivedAt,
-      deadline: it.deadline,
+      arrivedAt: arrived.arrivedAt,
+      deadline: arrived.deadline,
       generation: service.serving ? estimateGeneration(facts) : undefined,
-      firstTriedAt: it.arrivedAt - (facts.waitMs === undefined ? 0 : this.firstTries.noteTry(route.name, facts.waitMs)),
+      firstTriedAt: arrived.arrivedAt - (facts.waitMs === undefined ? 0 : this.firstTries.noteTry(route.name, facts.waitMs)),
       excluded: new Set(),
       stream: createStreamProgress(facts.lastEventId),
-      signal: it.signal,
+      signal: arrived.signal,
     }
   }
 
-  /** Counts a request; gives what is to be called at its end. */
+  /** Counts a request; the returned function has to be called at its end. */
   private noteDemand (work: RoutedWork): () => void {
     const { generation, service } = work
     const { residency, countRequest } = this.opts
     countRequest(service.name)
     if (!generation) return () => undefined
-    const asked = { service: service.name, model: generation.model, adapter: generation.adapter }
-    // One that comes back was counted before.
-    if (work.firstTriedAt === work.arrivedAt) residency.noteDemand(asked)
-    return residency.noteInHand(asked)
+    const weights = { service: service.name, model: generation.model, adapter: generation.adapter }
+    // A retry by the client was counted at its first try.
+    if (work.firstTriedAt === work.arrivedAt) residency.noteDemand(weights)
+    return residency.noteInHand(weights)
   }
 
-  private noteEnd (it: EndedRequest): void {
-    const { outcome, facts, response, arrivedAt, stream } = it
+  private recordOutcome (finished: EndedRequest): void {
+    const { outcome, facts, response, arrivedAt, stream } = finished
     outcome.ms = this.opts.clock.readTime() - arrivedAt
     if (outcome.status === 0) outcome.status = response.statusCode
     const { route, service, status, code, reason } = outcome
@@ -308,11 +307,11 @@
   }
 }
 
-/** The body, and the end of its connection if that has come behind it: nothing behind a large body is read before the body has been taken. */
+/** Reads the body, then waits for pending reads, since a close behind a large body is noticed only after the body has been consumed. */
 async function readRequestBody (request: http.IncomingMessage, limitBytes: number, signal: AbortSignal): Promise<Buffer | undefined> {
   if (!hasBody(request)) return undefined
-  const body = await endWith(signal, readBody(request, limitBytes))
-  await endWith(signal, waitForReads())
+  const body = await waitUnlessAborted(signal, readBody(request, limitBytes))
+  await waitUnlessAborted(signal, waitForReads())
   return body
 }
 
--- a/gateway/routed/src/RoutedWork.ts
+++ b/gateway/routed/src/RoutedWork.ts
@@ -3,58 +3,57 @@
 import type { GenerationDemand } from '@pulleystack/routing.fleet'
 import type { StreamProgress } from './relayStream.js'
 
-const UNHINTED_SHARE = 0.35
-const HINT_MARGIN = 1.4
+const DEFAULT_OUTPUT_SHARE = 0.35
+const OUTPUT_HINT_MARGIN = 1.4
 
-/** One routed request, from its head to its answer. */
+/** A routed request, from its head to its response. */
 export interface RoutedWork {
   requestId: string
   facts: RoutedRequestFacts
   route: Route
   service: RoutedService
-  /** The team whose key its caller showed; undefined where none is asked for. */
+  /** The team that the caller's access key belongs to, if any. */
   team: Team | undefined
   /** 0 is the most urgent. */
   priority: number
-  /** The access key is meant for the system alone. */
+  /** Whether the access key is removed before the request is forwarded. */
   hidesKey: boolean
-  /** Whom the client asked, in lower case. */
+  /** Host header in lower case. */
   host: string
   method: string
-  /** Path and query as the client sent them. */
+  /** Path and query as sent by the client. */
   path: string
   rawHeaders: readonly string[]
   body: Buffer | undefined
-  /** Monotone times. */
+  /** Monotone time in milliseconds, as is `deadline`. */
   arrivedAt: number
   deadline: number
   generation: GenerationDemand | undefined
-  /** When its client most likely tried first, by monotone time; `arrivedAt` unless it was refused before and came back. */
+  /** Estimated monotone time of the client's first try; `arrivedAt` unless the request was retried by the client. */
   firstTriedAt: number
-  /** Servers that failed this request. */
+  /** Ids of servers that failed this request. */
   excluded: Set<string>
-  /** How far its stream has come. */
   stream: StreamProgress
-  /** Ends with the client or at the deadline. */
+  /** Aborted when the client disconnects or the deadline passes. */
   signal: AbortSignal
-  /** The same whenever the request comes again, under whichever id; undefined until it is asked for. */
+  /** Identity of the request across retries with other request ids; undefined until computed. */
   identity?: string
-  /** A server has ended under it, and others keep away from where it runs. */
+  /** A server crashed while running this request; other requests avoid the servers that run it. */
   isSuspect?: boolean
-  /** More than one has, and it runs on no server where another suspect is. */
+  /** Several servers crashed while running this request; it must not share a server with another suspect. */
   mustBeApart?: boolean
 }
 
-/** What a request's generation will likely take. */
+/** Estimates the resources needed for a generation. */
 export function estimateGeneration (facts: RoutedRequestFacts): GenerationDemand | undefined {
-  const asked = facts.generation
-  if (!asked) return undefined
-  const guess = asked.outputHint === undefined ? asked.maxOutputTokens * UNHINTED_SHARE : asked.outputHint * HINT_MARGIN
+  const requested = facts.generation
+  if (!requested) return undefined
+  const expectedTokens = requested.outputHint === undefined ? requested.maxOutputTokens * DEFAULT_OUTPUT_SHARE : requested.outputHint * OUTPUT_HINT_MARGIN
   return {
-    model: asked.model,
-    adapter: asked.adapter,
-    promptTokens: asked.promptTokens,
-    outputTokens: Math.min(asked.maxOutputTokens, Math.ceil(guess)),
-    parts: asked.parts,
+    model: requested.model,
+    adapter: requested.adapter,
+    promptTokens: requested.promptTokens,
+    outputTokens: Math.min(requested.maxOutputTokens, Math.ceil(expectedTokens)),
+    parts: requested.parts,
   }
 }
--- a/gateway/routed/src/SlotForecast.ts
+++ b/gateway/routed/src/SlotForecast.ts
@@ -5,89 +5,91 @@
 import type { ReachedLimit } from '@pulleystack/timeline.decisions'
 import type { RoutedWork } from './RoutedWork.js'
 
-/** A request that has held its place for longer than others do ends at any moment: within this share of the time. */
-const OVERDUE_SHARE = 0.1
+/** Remaining time expected of a request that has exceeded the mean holding time, as a share of that mean. */
+const MIN_REMAINING_SHARE = 0.1
 
-/** What one served request took, in milliseconds since it got its place. */
+/** Times of a served request, in milliseconds since it acquired its slot. */
 export interface ServedTimes {
-  /** Until the place came free. */
+  /** Until the slot was released. */
   heldMs: number
-  /** Until the client had something of the answer; for plain answers as long as the place was held. */
-  firstMs: number
+  /** Until the first event of a stream, or until all of a plain response had arrived. */
+  firstOutputMs: number
 }
 
-/** Limits that hold a request back, and the milliseconds until the first of them leaves a place. */
+/** Rate limits that delay a request, and the milliseconds until the first of them permits another one. */
 export interface ReachedLimits {
   limits: readonly ReachedLimit[]
   expectedMs: number
 }
 
-/** A request that was served. */
-export interface Served extends ServedTimes {
-  /** Tokens of its prompt that the server had not read before. */
+export interface ServedRequest extends ServedTimes {
+  /** Prompt tokens that were not in the server's prefix cache. */
   readTokens: number
 }
 
-/** How long places are held and how often they come free, as this instance sees it, and what follows for those that wait. */
-export class PlaceForecast {
-  private readonly held = new RecentMean()
-  private readonly first = new RecentMean()
-  /** How long servers read prompts, in milliseconds. */
-  private readonly reading = new RecentMean()
-  private readonly arrivals: RecentRate
-  /** When the requests that this instance runs got their places, by server. */
-  private readonly takenAt = new Map<string, Set<{ at: number }>>()
+/** Estimates how long requests wait for slots, from the holding times and arrival rates seen by this instance. */
+export class SlotForecast {
+  private readonly heldMeans = new RecentMean()
+  private readonly firstOutputMeans = new RecentMean()
+  /** In milliseconds. */
+  private readonly prefillMeans = new RecentMean()
+  private readonly arrivalRates: RecentRate
+  /** Slots held by this instance with the monotone times of their acquisition, by server. */
+  private readonly ownSlots = new Map<string, Set<{ at: number }>>()
 
   constructor (private readonly opts: { clock: Clock, fleet: BackendFleet }) {
-    this.arrivals = new RecentRate(opts.clock)
+    this.arrivalRates = new RecentRate(opts.clock)
   }
 
   noteArrived (work: RoutedWork): void {
-    this.arrivals.add(namePlaces(work))
+    this.arrivalRates.add(buildQueueKey(work))
   }
 
-  /** A request of this instance has a place at a server, until the function that it gives is called. */
-  noteTaken (backend: string): () => void {
-    const taken = this.takenAt.get(backend) ?? new Set()
-    this.takenAt.set(backend, taken)
-    const entry = { at: this.opts.clock.readTime() }
-    taken.add(entry)
+  /** Records a slot held by this instance; the returned function removes it. */
+  noteAcquired (backend: string): () => void {
+    const slots = this.ownSlots.get(backend) ?? new Set()
+    this.ownSlots.set(backend, slots)
+    const slot = { at: this.opts.clock.readTime() }
+    slots.add(slot)
     return () => {
-      taken.delete(entry)
-      if (taken.size === 0) this.takenAt.delete(backend)
+      slots.delete(slot)
+      if (slots.size === 0) this.ownSlots.delete(backend)
     }
   }
 
-  noteServed (work: RoutedWork, { heldMs, firstMs, readTokens }: Served): void {
-    for (const name of [namePlaces(work), work.service.name]) {
-      this.held.add(name, heldMs)
-      this.first.add(name, firstMs)
-      this.reading.add(name, readTokens / PREFILL_TOKENS_PER_MS)
+  noteServed (work: RoutedWork, { heldMs, firstOutputMs, readTokens }: ServedRequest): void {
+    for (const key of [buildQueueKey(work), work.service.name]) {
+      this.heldMeans.add(key, heldMs)
+      this.firstOutputMeans.add(key, firstOutputMs)
+      this.prefillMeans.add(key, readTokens / PREFILL_TOKENS_PER_MS)
     }
   }
 
-  /** By when a request needs its place. */
-  describe (work: RoutedWork, isPatienceBound: boolean): Candidate {
+  /** Computes by when a request needs its slot. */
+  createCandidate (work: RoutedWork, isPatienceLimited: boolean): Candidate {
     const { route, generation } = work
-    const readMs = (generation?.promptTokens ?? 0) / PREFILL_TOKENS_PER_MS
-    const firstMs = this.read(this.first, work) ?? readMs
-    const heldMs = this.readHigh(this.held, work) ?? readMs
-    const patienceMs = isPatienceBound ? route.patienceMs ?? Infinity : Infinity
-    // A client that has a part of its answer waits as long for each further one.
-    const waitsSince = work.stream.events > 0 ? this.opts.clock.readTime() : work.arrivedAt
+    const prefillMs = (generation?.promptTokens ?? 0) / PREFILL_TOKENS_PER_MS
+    const firstOutputMs = this.readMean(this.firstOutputMeans, work) ?? prefillMs
+    const heldMs = this.readHighMean(this.heldMeans, work) ?? prefillMs
+    const patienceMs = isPatienceLimited ? route.patienceMs ?? Infinity : Infinity
+    // Once a stream has begun, the patience of the client counts from now.
+    const patienceStart = work.stream.events > 0 ? this.opts.clock.readTime() : work.arrivedAt
     return {
       priority: work.priority,
-      dueAt: work.firstTriedAt + route.targetLatencyMs - firstMs,
-      latestAt: Math.min(work.deadline - heldMs, waitsSince + patienceMs - firstMs),
+      dueAt: work.firstTriedAt + route.targetLatencyMs - firstOutputMs,
+      latestAt: Math.min(work.deadline - heldMs, patienceStart + patienceMs - firstOutputMs),
     }
   }
 
-  /** When a place will likely come free; undefined before any was seen to. `ahead` requests for the same places wait here before this one. */
-  estimatePlace (work: RoutedWork, ahead: number): WaitEstimate | undefined {
-    return this.estimateAt(work, ahead, this.listHolding(work))
+  /**
+   * Estimates when a slot becomes free; undefined without holding times of earlier requests. `ahead` counts the requests in front of this one that
+   * wait here for the same slots.
+   */
+  estimateSlotWait (work: RoutedWork, ahead: number): WaitEstimate | undefined {
+    return this.estimateSlotWaitAt(work, ahead, this.listAvailable(work))
   }
 
-  /** Limits of the servers that could run the request, when they were said, and the milliseconds until the first of them leaves a place. */
+  /** Describes the rate limits of the available servers, how long ago they were announced, and when the first permit is expected. */
   describeLimits (work: RoutedWork): ReachedLimits {
     const now = this.opts.clock.readTime()
     const limited = this.listLimited(work)
@@ -95,100 +97,100 @@
       const { perSecond = Infinity, saidBefore, heardBy } = stated.limit.statement
       return { backend: id, perSecond, saidMsAgo: Math.round(now - saidBefore), ...heardBy !== undefined && { heardBy } }
     })
-    return { limits, expectedMs: Math.round(readNextMs(limited, now)) }
+    return { limits, expectedMs: Math.round(computeNextPermitMs(limited, now)) }
   }
 
   private listLimited (work: RoutedWork): Backend[] {
-    return this.listHolding(work).filter(({ stated }) => stated.limit.perSecond !== undefined)
+    return this.listAvailable(work).filter(({ stated }) => stated.limit.perSecond !== undefined)
   }
 
-  /** When the limits that servers name will likely leave a place; at another server one may come free before. */
-  estimatePermit (work: RoutedWork, ahead: number): WaitEstimate | undefined {
+  /** Estimates the wait for a permit of a rate-limited server or a slot at another one, whichever comes first. */
+  estimatePermitWait (work: RoutedWork, ahead: number): WaitEstimate | undefined {
     const now = this.opts.clock.readTime()
     const limited = this.listLimited(work)
-    const others = this.listHolding(work).filter((backend) => !limited.includes(backend))
-    const place = others.length === 0 ? undefined : this.estimateAt(work, ahead, others)
-    if (limited.length === 0) return place
+    const others = this.listAvailable(work).filter((backend) => !limited.includes(backend))
+    const slotWait = others.length === 0 ? undefined : this.estimateSlotWaitAt(work, ahead, others)
+    if (limited.length === 0) return slotWait
     const perSecond = limited.reduce((sum, { stated }) => sum + computePermitsPerSecond(stated.limit.perSecond ?? Infinity), 0)
     const heldMs = 1_000 / perSecond
-    const nextMs = readNextMs(limited, now)
-    // The rights to send come one by one, as if one request were run after the other.
-    const permit = this.estimate(work, ahead, { heldMs, running: 1, ownLeftMs: [nextMs - heldMs], isSteady: true })
-    if (!place) return permit
-    return { inTimeMs: Math.min(permit.inTimeMs, place.inTimeMs), lateMs: Math.min(permit.lateMs, place.lateMs) }
+    const nextMs = computeNextPermitMs(limited, now)
+    // Permits arrive one at a time, like slots of a server that runs one request after the other.
+    const permitWait = this.estimateWait(work, ahead, { heldMs, running: 1, ownLeftMs: [nextMs - heldMs], isSteady: true })
+    if (!slotWait) return permitWait
+    return { inTimeMs: Math.min(permitWait.inTimeMs, slotWait.inTimeMs), lateMs: Math.min(permitWait.lateMs, slotWait.lateMs) }
   }
 
-  /** Whether rights to send to a server that could run the request have been asked for, and no answer is there yet. */
-  isAskingForPermits (work: RoutedWork): boolean {
-    return this.listHolding(work).some(({ stated }) => stated.permits.isAsking)
+  /** Whether a request for permits of an available server is unanswered. */
+  isAwaitingPermits (work: RoutedWork): boolean {
+    return this.listAvailable(work).some(({ stated }) => stated.permits.isAsking)
   }
 
-  private estimateAt (work: RoutedWork, ahead: number, holding: readonly Backend[]): WaitEstimate | undefined {
-    const heldMs = this.read(this.held, work)
+  private estimateSlotWaitAt (work: RoutedWork, ahead: number, servers: readonly Backend[]): WaitEstimate | undefined {
+    const heldMs = this.readMean(this.heldMeans, work)
     if (heldMs === undefined) return undefined
-    const running = holding.reduce((sum, backend) => sum + backend.readLoad().running, 0)
-    return this.estimate(work, ahead, { heldMs: Math.max(1, heldMs), running, ownLeftMs: this.listLeftMs(holding, heldMs) })
+    const running = servers.reduce((sum, backend) => sum + backend.readLoad().running, 0)
+    return this.estimateWait(work, ahead, { heldMs: Math.max(1, heldMs), running, ownLeftMs: this.listRemainingMs(servers, heldMs) })
   }
 
-  /** When a server that holds the weights will likely read no more prompts than its streams bear; each reads one after the other. */
-  estimateReading (work: RoutedWork, ahead: number): WaitEstimate | undefined {
-    const readMs = this.read(this.reading, work)
-    if (readMs === undefined) return undefined
-    return this.estimate(work, ahead, { heldMs: Math.max(1, readMs), running: this.listHolding(work).length, ownLeftMs: [] })
+  /** Estimates when a server will be below its prefill limit; each server processes one prompt at a time. */
+  estimatePrefillWait (work: RoutedWork, ahead: number): WaitEstimate | undefined {
+    const prefillMs = this.readMean(this.prefillMeans, work)
+    if (prefillMs === undefined) return undefined
+    return this.estimateWait(work, ahead, { heldMs: Math.max(1, prefillMs), running: this.listAvailable(work).length, ownLeftMs: [] })
   }
 
-  private estimate (work: RoutedWork, ahead: number, use: Pick<QueueFacts, 'heldMs' | 'running' | 'ownLeftMs' | 'isSteady'>): WaitEstimate {
+  private estimateWait (work: RoutedWork, ahead: number, slotUse: Pick<QueueFacts, 'heldMs' | 'running' | 'ownLeftMs' | 'isSteady'>): WaitEstimate {
     const { fleet } = this.opts
-    const name = namePlaces(work)
+    const key = buildQueueKey(work)
     return estimateWaits({
-      ...use,
-      arrivalsPerSecond: this.arrivals.read(name),
+      ...slotUse,
+      arrivalsPerSecond: this.arrivalRates.read(key),
       ahead,
-      waiting: fleet.waiting.countOwn(name),
-      waitingElsewhere: fleet.waiting.countElsewhere(name),
+      waiting: fleet.waiting.countOwn(key),
+      waitingElsewhere: fleet.waiting.countElsewhere(key),
     })
   }
 
-  private listLeftMs (holding: readonly Backend[], heldMs: number): number[] {
+  private listRemainingMs (servers: readonly Backend[], heldMs: number): number[] {
     const now = this.opts.clock.readTime()
-    const taken = holding.flatMap((backend) => [...this.takenAt.get(backend.id) ?? []])
-    return taken.map(({ at }) => Math.max(heldMs * OVERDUE_SHARE, at + heldMs - now)).sort((a, b) => a - b)
+    const slots = servers.flatMap((backend) => [...this.ownSlots.get(backend.id) ?? []])
+    return slots.map(({ at }) => Math.max(heldMs * MIN_REMAINING_SHARE, at + heldMs - now)).sort((a, b) => a - b)
   }
 
-  /** Milliseconds until the first of the servers that could run the request and want rest takes requests again; undefined when none wants rest. */
+  /** Milliseconds until the first eligible server's pause ends; undefined when none is paused. */
   readBackoffMs (work: RoutedWork): number | undefined {
     const now = this.opts.clock.readTime()
-    const waits = this.listStaying(work, now).map((backend) => backend.stated.backoff.readLeftMs(now)).filter((ms) => ms > 0)
+    const waits = this.listReachable(work, now).map((backend) => backend.stated.backoff.readLeftMs(now)).filter((ms) => ms > 0)
     return waits.length === 0 ? undefined : Math.min(...waits)
   }
 
-  private listHolding (work: RoutedWork): Backend[] {
+  private listAvailable (work: RoutedWork): Backend[] {
     const now = this.opts.clock.readTime()
-    return this.listStaying(work, now).filter((backend) => !backend.stated.backoff.isActive(now))
+    return this.listReachable(work, now).filter((backend) => !backend.stated.backoff.isActive(now))
   }
 
-  /** Servers that have what the request needs, stay and can be reached. */
-  private listStaying ({ service, generation }: RoutedWork, now: number): Backend[] {
-    const staying = this.opts.fleet.list(service.name).filter((backend) => backend.isStaying(now))
-    return generation ? staying.filter((backend) => backend.hasWeights(generation.model, generation.adapter)) : staying
+  /** Lists reachable servers that are not draining and hold the weights, paused ones included. */
+  private listReachable ({ service, generation }: RoutedWork, now: number): Backend[] {
+    const reachable = this.opts.fleet.list(service.name).filter((backend) => backend.isStaying(now))
+    return generation ? reachable.filter((backend) => backend.hasWeights(generation.model, generation.adapter)) : reachable
   }
 
-  private readHigh (means: RecentMean, work: RoutedWork): number | undefined {
-    return means.readHigh(namePlaces(work)) ?? means.readHigh(work.service.name)
+  private readHighMean (means: RecentMean, work: RoutedWork): number | undefined {
+    return means.readHigh(buildQueueKey(work)) ?? means.readHigh(work.service.name)
   }
 
-  /** For what is rare, what requests to its service take. */
-  private read (means: RecentMean, work: RoutedWork): number | undefined {
-    return means.read(namePlaces(work)) ?? means.read(work.service.name)
+  /** Falls back to the mean of the whole service for weights without samples. */
+  private readMean (means: RecentMean, work: RoutedWork): number | undefined {
+    return means.read(buildQueueKey(work)) ?? means.read(work.service.name)
   }
 }
 
-/** Milliseconds until the first of some servers' limits leaves a place. */
-function readNextMs (limited: readonly Backend[], now: number): number {
+/** Milliseconds until the first of the servers is expected to have a permit. */
+function computeNextPermitMs (limited: readonly Backend[], now: number): number {
   return Math.min(...limited.map(({ stated }) => Math.max(0, stated.permits.expectedAt - now)))
 }
 
-/** What a request waits for, by service and weights. */
-export function namePlaces ({ service, generation }: RoutedWork): string {
+/** Identifies the slots that a request can use, by service and weights. */
+export function buildQueueKey ({ service, generation }: RoutedWork): string {
   return generation ? `${service.name}|${nameWeights(generation.model, generation.adapter)}` : service.name
 }
--- a/gateway/routed/src/StreamPace.ts
+++ b/gateway/routed/src/StreamPace.ts
@@ -1,27 +1,27 @@
 import type { Clock } from '@pulleystack/core.clock'
 
-/** Well below the pause between two events that any client notices. */
-const TICK_MS = 40
+/** Short enough not to be noticeable between two events. */
+const FLUSH_INTERVAL_MS = 40
 
-/** Writes what streams have gathered at common moments, so that many small events cost few writes and wake-ups. */
+/** Flushes the buffered events of all streams together, to reduce writes and timer wake-ups. */
 export class StreamPace {
-  private readonly waiting = new Set<() => void>()
-  private isTicking = false
+  private readonly pendingFlushes = new Set<() => void>()
+  private isScheduled = false
 
   constructor (private readonly clock: Clock) {}
 
-  /** Runs the task at the next common moment. */
+  /** Calls `flush` once at the next common flush. */
   schedule (flush: () => void): void {
-    this.waiting.add(flush)
-    if (this.isTicking) return
-    this.isTicking = true
-    this.clock.setTimer(TICK_MS, () => this.tick())
+    this.pendingFlushes.add(flush)
+    if (this.isScheduled) return
+    this.isScheduled = true
+    this.clock.setTimer(FLUSH_INTERVAL_MS, () => this.runFlushes())
   }
 
-  private tick (): void {
-    this.isTicking = false
-    const due = [...this.waiting]
-    this.waiting.clear()
+  private runFlushes (): void {
+    this.isScheduled = false
+    const due = [...this.pendingFlushes]
+    this.pendingFlushes.clear()
     for (const flush of due) flush()
   }
 }
--- a/gateway/routed/src/SuspectGate.ts
+++ b/gateway/routed/src/SuspectGate.ts
@@ -4,15 +4,15 @@
 import type { ServerProbe } from '@pulleystack/routing.forward'
 import { Verdicts, type Quarantine, type SuspectRun, type Verdict } from '@pulleystack/routing.quarantine'
 import { DecisionKinds, type DecisionLog } from '@pulleystack/timeline.decisions'
-import { hashWork } from './hashRequest.js'
+import { hashRequest } from './hashRequest.js'
 import type { RoutedWork } from './RoutedWork.js'
 
-/** The run that has to end first takes a moment; by then it has ended one way or the other. */
+/** Retry delay while an exclusive run of the same request is in progress. */
 const BUSY_RETRY_SECONDS = 0.5
-/** A refused request is not tried again for a long time; callers that come back within a session come in vain. */
-const REFUSED_RETRY_SECONDS = 600
+/** Retry delay of a confirmed poison request. */
+const REJECTED_RETRY_SECONDS = 600
 
-const FREE_RUN: SuspectRun = { isOnly: false, release: () => undefined }
+const UNRESTRICTED_RUN: SuspectRun = { isOnly: false, release: () => undefined }
 
 export interface SuspectGateOptions {
   clock: Clock
@@ -22,88 +22,88 @@
   quarantine: Quarantine
 }
 
-/** One attempt whose connection broke. */
+/** An attempt whose connection was lost. */
 export interface BrokenAttempt {
   backend: Backend
   run: SuspectRun
   send: number
-  /** Monotone time. */
+  /** Monotone time in milliseconds. */
   sentAt: number
 }
 
-/** Keeps requests from servers under which servers have ended before, and finds out under which they end. */
+/** Detects requests that crash backend servers, and restricts or rejects them. */
 export class SuspectGate {
   constructor (private readonly opts: SuspectGateOptions) {}
 
   /**
-   * The right to send the request to a server, and how it has to be placed; rejects with `ran: no` when it may not be sent. Waits while another run of a
-   * suspect is under way that has to end first.
+   * Admits one run of the request and sets on `work` how it has to be placed; rejects with `ran: no` when it may not run. Waits while another run of
+   * the same suspect has to end first.
    */
   async admit (work: RoutedWork): Promise<SuspectRun> {
     const { quarantine, clock } = this.opts
-    const verdict = this.judge(work)
+    const verdict = this.readVerdict(work)
     work.isSuspect = verdict !== Verdicts.FREE
     work.mustBeApart = verdict === Verdicts.ALONE
-    if (verdict === Verdicts.FREE && quarantine.isLoaded) return FREE_RUN
-    const run = await quarantine.acquire(this.readIdentity(work), Math.max(0, work.deadline - clock.readTime()), work.signal)
-    if (!run) throw this.createRefusal(work)
+    if (verdict === Verdicts.FREE && quarantine.isLoaded) return UNRESTRICTED_RUN
+    const run = await quarantine.acquire(this.ensureIdentity(work), Math.max(0, work.deadline - clock.readTime()), work.signal)
+    if (!run) throw this.createRejection(work)
     return run
   }
 
-  /** Whether the request has become a suspect after it was let in as one that is none. */
-  hasChanged (work: RoutedWork): boolean {
-    return !work.isSuspect && this.judge(work) !== Verdicts.FREE
+  /** Whether the request has become a suspect since it was admitted. */
+  hasBecomeSuspect (work: RoutedWork): boolean {
+    return !work.isSuspect && this.readVerdict(work) !== Verdicts.FREE
   }
 
-  /** Finds out whether the server ended under the request, or only broke that connection. */
-  async noteBroken (work: RoutedWork, { backend, run, send, sentAt }: BrokenAttempt): Promise<void> {
+  /** Checks whether the server crashed or only the connection was lost; a crash counts against the request. */
+  async checkServerEnd (work: RoutedWork, { backend, run, send, sentAt }: BrokenAttempt): Promise<void> {
     const { clock, log, probe, quarantine } = this.opts
     const sentMs = Math.round(clock.readTime() - sentAt)
-    if (!this.isExpectedToStay(backend) || !await probe.hasEnded(backend.entry.address)) return
-    const identity = this.readIdentity(work)
+    if (!this.isExpectedToRun(backend) || !await probe.hasEnded(backend.entry.address)) return
+    const identity = this.ensureIdentity(work)
     quarantine.noteServerEnd(identity, { life: nameLife(backend.entry), wasOnlyRun: run.isOnly })
     const facts = { request: work.requestId, identity, backend: backend.id, address: backend.entry.address }
     log.record(DecisionKinds.SERVER_ENDED, { ...facts, send, sentMs, events: work.stream.events, ends: quarantine.listEnds(identity).length })
   }
 
-  /** A server has run the request to its end. */
+  /** Records that a server completed the request without crashing. */
   noteServed (work: RoutedWork): void {
-    if (this.opts.quarantine.size > 0) this.opts.quarantine.noteGoodEnd(this.readIdentity(work))
+    if (this.opts.quarantine.size > 0) this.opts.quarantine.noteGoodEnd(this.ensureIdentity(work))
   }
 
-  /** The refusal of a request that is judged anew while it waits; undefined when it may go on. */
-  findRefusal (work: RoutedWork, identity: string): PulleystackError | undefined {
-    if (this.readIdentity(work) !== identity || this.judge(work) !== Verdicts.REFUSED) return undefined
-    return this.createRefusal(work)
+  /** Returns the error for a queued request with this identity if it has become a confirmed poison request; undefined otherwise. */
+  findRejection (work: RoutedWork, identity: string): PulleystackError | undefined {
+    if (this.ensureIdentity(work) !== identity || this.readVerdict(work) !== Verdicts.REFUSED) return undefined
+    return this.createRejection(work)
   }
 
-  /** Identities that are judged anew. */
+  /** Emits the identities of requests whose verdicts may have changed. */
   get changes (): Quarantine['changes'] {
     return this.opts.quarantine.changes
   }
 
-  // Nothing is hashed while no request is remembered: until a server ends, and from an hour after the last end on.
-  private judge (work: RoutedWork): Verdict {
-    return this.opts.quarantine.size === 0 ? Verdicts.FREE : this.opts.quarantine.judge(this.readIdentity(work))
+  // Avoids hashing requests while there are no suspects.
+  private readVerdict (work: RoutedWork): Verdict {
+    return this.opts.quarantine.size === 0 ? Verdicts.FREE : this.opts.quarantine.judge(this.ensureIdentity(work))
   }
 
-  private readIdentity (work: RoutedWork): string {
-    work.identity ??= hashWork(work)
+  private ensureIdentity (work: RoutedWork): string {
+    work.identity ??= hashRequest(work)
     return work.identity
   }
 
-  /** What was told to leave, or has left the list, ends by plan and takes along what it still runs. */
-  private isExpectedToStay (backend: Backend): boolean {
+  /** A server that is draining or has been removed stops as planned, which says nothing about the request. */
+  private isExpectedToRun (backend: Backend): boolean {
     return !backend.entry.draining && this.opts.fleet.find(backend.id) === backend
   }
 
-  private createRefusal (work: RoutedWork): PulleystackError {
-    const identity = this.readIdentity(work)
-    const verdict = this.judge(work)
+  private createRejection (work: RoutedWork): PulleystackError {
+    const identity = this.ensureIdentity(work)
+    const verdict = this.readVerdict(work)
     const ends = this.opts.quarantine.listEnds(identity).length
     this.opts.log.record(DecisionKinds.SUSPECT_REFUSED, { request: work.requestId, identity, ends, verdict })
-    const retryAfterSeconds = verdict === Verdicts.REFUSED ? REFUSED_RETRY_SECONDS : BUSY_RETRY_SECONDS
-    const message = `${ends} backend servers ended while they ran this request`
+    const retryAfterSeconds = verdict === Verdicts.REFUSED ? REJECTED_RETRY_SECONDS : BUSY_RETRY_SECONDS
+    const message = `${ends} backend servers crashed while running this request`
     return new PulleystackError('REQUEST_ENDS_SERVERS', message, { ran: Ran.NO, retryAfterSeconds })
   }
 }
--- a/gateway/routed/src/UnfinishedRequest.ts
+++ b/gateway/routed/src/UnfinishedRequest.ts
@@ -1,30 +1,30 @@
 import type http from 'node:http'
 import type { RoutedWork } from './RoutedWork.js'
 
-/** How far a request has come that has not been answered whole. */
+/** States of a request whose response is incomplete. */
 export const RequestStates = {
-  /** Its body is being read. */
+  /** The request body is being read. */
   READING: 'reading',
-  /** It waits for a place at a server, at first or before another attempt. */
+  /** Waits for a slot at a server, for the first or another attempt. */
   WAITING: 'waiting',
-  /** It was sent to a server of which nothing has been passed on. */
+  /** Sent to a server; no response has been forwarded. */
   SENT: 'sent',
-  /** Its answer is being passed on. */
+  /** The response is being forwarded. */
   STREAMING: 'streaming',
-  /** Its answer is held up by a client that does not read. */
+  /** The response is blocked by a client that does not read. */
   PAUSED: 'paused',
-  /** Its answer is written, but has not left. */
+  /** The response has been written but not flushed. */
   ANSWERED: 'answered',
 } as const
 export type RequestState = typeof RequestStates[keyof typeof RequestStates]
 
-/** What is known of a request that has not been answered whole. */
+/** Describes an unfinished request in the log. */
 export interface UnfinishedFacts {
   request: string | undefined
   route: string | undefined
   ageMs: number
   state: RequestState
-  /** The head of its answer was written. */
+  /** Whether the response head has been written. */
   hasBegun: boolean
   /** Events of its stream that were passed on. */
   events: number
@@ -37,9 +37,9 @@
   isWaiting: (work: RoutedWork) => boolean
 }
 
-/** One request from its arrival until its answer has left whole or its client is gone. */
+/** Tracks a request from its arrival until its response has been flushed or its client has disconnected. */
 export class UnfinishedRequest {
-  /** Undefined until its body was read. */
+  /** Undefined until the request body has been read. */
   work: RoutedWork | undefined
 
   constructor (private readonly opts: UnfinishedRequestOptions) {}
--- a/gateway/routed/src/createRejection.ts
+++ b/gateway/routed/src/createRejection.ts
@@ -1,16 +1,16 @@
 import { PulleystackError } from '@pulleystack/core.errors'
 import { ChoiceFailures, type ChoiceFailure } from '@pulleystack/routing.fleet'
 
-/** The refusal of a request for which no server was found; it has not run. */
-export function createRefusal (failure: ChoiceFailure, retryAfterSeconds: number): PulleystackError {
+/** Creates the error for a request that was rejected, without having run, because no server could be chosen. */
+export function createRejection (failure: ChoiceFailure, retryAfterSeconds: number): PulleystackError {
   const opts = { retryAfterSeconds }
-  if (failure === ChoiceFailures.BACKING_OFF) return new PulleystackError('OVERLOADED', 'All servers that could run the request want rest', opts)
-  if (failure === ChoiceFailures.LIMITED) return new PulleystackError('OVERLOADED', 'All servers that could run the request name limits that are reached', opts)
-  if (failure === ChoiceFailures.FULL) return new PulleystackError('OVERLOADED', 'All servers that could run the request are full', opts)
-  return new PulleystackError('NO_RUNNER', `No server could run the request: ${failure}`, opts)
+  if (failure === ChoiceFailures.BACKING_OFF) return new PulleystackError('OVERLOADED', 'All eligible servers have requested a pause', opts)
+  if (failure === ChoiceFailures.LIMITED) return new PulleystackError('OVERLOADED', 'All eligible servers have reached their rate limits', opts)
+  if (failure === ChoiceFailures.FULL) return new PulleystackError('OVERLOADED', 'All eligible servers are at capacity', opts)
+  return new PulleystackError('NO_RUNNER', `No eligible server: ${failure}`, opts)
 }
 
-/** Another instance may have a place; this one ends before it could finish the request. */
-export function createStopping (): PulleystackError {
-  return new PulleystackError('INSTANCE_STOPPING', 'This instance ends before the request would get a place', { retryAfterSeconds: 0 })
+/** Creates the error for a request that cannot wait here because the instance is shutting down; another one may serve it. */
+export function createStoppingError (): PulleystackError {
+  return new PulleystackError('INSTANCE_STOPPING', 'This instance is shutting down and cannot queue the request', { retryAfterSeconds: 0 })
 }
--- a/gateway/routed/src/relayStream.ts
+++ b/gateway/routed/src/relayStream.ts
@@ -3,60 +3,60 @@
 import type { ClientAnswer } from './ClientAnswer.js'
 import type { StreamPace } from './StreamPace.js'
 
-/** How far a stream has come, over all attempts. */
+/** Progress of a stream over all attempts. */
 export interface StreamProgress {
-  /** Newest event that the client has. */
+  /** Id of the newest event that the client has received. */
   lastEventId: string | undefined
   events: number
-  /** Monotone times of the first and the newest event; undefined before the first. */
+  /** Monotone times of the first and the newest event, in milliseconds; undefined before the first. */
   firstAt: number | undefined
   newestAt: number | undefined
-  /** Longest pause between two events so far, in milliseconds. */
+  /** Longest pause between two events, in milliseconds. */
   longestPauseMs: number
 }
 
-export interface RelayOptions {
+export interface StreamRelayOptions {
   clock: Clock
   answer: ExchangeAnswer
   client: ClientAnswer
   progress: StreamProgress
   pace: StreamPace
-  /** Whole events have come. */
+  /** Called when complete events have arrived. */
   onEvents: () => void
-  /** The server is held back for the client, or may go on. */
-  onHeld: (isHeld: boolean) => void
+  /** Called with true when reading pauses for a slow client, and with false when it resumes. */
+  onBackpressure: (isPaused: boolean) => void
   onFirstEvent: () => void
 }
 
 /**
- * Passes a stream on event by event, so that one that breaks off can be taken up behind the last whole event. The head of
- * the first answer stays when later ones go on. Rejects when the stream breaks off.
+ * Forwards a stream event by event, so that an interrupted one can be resumed after the last complete event. The client keeps the head of the first
+ * response when another attempt resumes the stream. Rejects when the stream is interrupted.
  */
-export async function relayStream (opts: RelayOptions): Promise<void> {
+export async function relayStream (opts: StreamRelayOptions): Promise<void> {
   const { answer, client, pace } = opts
   const splitter = new EventSplitter()
-  let gathered: Buffer[] = []
+  let pending: Buffer[] = []
   let isFirst = true
   const flush = (): void => {
-    if (gathered.length === 0) return
-    const bytes = gathered.length === 1 ? gathered[0] as Buffer : Buffer.concat(gathered)
-    gathered = []
+    if (pending.length === 0) return
+    const bytes = pending.length === 1 ? pending[0] as Buffer : Buffer.concat(pending)
+    pending = []
     if (client.write(bytes)) return
     answer.pause()
-    opts.onHeld(true)
+    opts.onBackpressure(true)
     client.onDrain(() => {
       answer.resume()
-      opts.onHeld(false)
+      opts.onBackpressure(false)
     })
   }
   try {
     await answer.read((chunk) => {
       const now = opts.clock.readTime()
       for (const event of splitter.push(chunk)) {
-        noteEvent(opts.progress, event.id, now)
-        gathered.push(event.bytes)
+        recordEvent(opts.progress, event.id, now)
+        pending.push(event.bytes)
       }
-      if (gathered.length === 0) return
+      if (pending.length === 0) return
       opts.onEvents()
       if (!isFirst) {
         pace.schedule(flush)
@@ -68,7 +68,7 @@
       flush()
     })
   } finally {
-    // Whole events that have come are the client's, also when the stream breaks off behind them.
+    // The client also gets the complete events of an interrupted stream.
     flush()
   }
   if (!client.hasBegun) client.beginStream(answer)
@@ -77,12 +77,11 @@
   client.endStream()
 }
 
-/** A stream of which nothing has come. */
 export function createStreamProgress (lastEventId: string | undefined): StreamProgress {
   return { lastEventId, events: 0, firstAt: undefined, newestAt: undefined, longestPauseMs: 0 }
 }
 
-function noteEvent (progress: StreamProgress, id: string | undefined, now: number): void {
+function recordEvent (progress: StreamProgress, id: string | undefined, now: number): void {
   progress.firstAt ??= now
   progress.longestPauseMs = Math.max(progress.longestPauseMs, now - (progress.newestAt ?? now))
   progress.newestAt = now
--- a/gateway/routed/src/runRequest.ts
+++ b/gateway/routed/src/runRequest.ts
@@ -9,7 +9,7 @@
 import type { RetryPermit, WindowBudget } from '@pulleystack/routing.retries'
 import { DecisionKinds, type DecisionLog, type RetryVerdict } from '@pulleystack/timeline.decisions'
 import { createAttemptSignal, type AttemptSignal } from './AttemptSignal.js'
-import type { BackendPlace } from './BackendSlot.js'
+import type { BackendSlot } from './BackendSlot.js'
 import type { BackendQueue } from './BackendQueue.js'
 import type { ClientAnswer } from './ClientAnswer.js'
 import { relayStream, type StreamProgress } from './relayStream.js'
@@ -17,12 +17,13 @@
 import type { StreamPace } from './StreamPace.js'
 import type { SuspectGate } from './SuspectGate.js'
 
-const CONNECT_MS = 300
+const CONNECT_TIMEOUT_MS = 300
 const MAX_BODY_BYTES = 32 << 20
-/** Sends of one request, those included that its servers refused. */
+/** Limit of sends per request, including those rejected by servers. */
 const MAX_SENDS = 4
-const SERVER_FAILURE = 500
-/** What the attempts of all requests share. */
+const MIN_SERVER_ERROR_STATUS = 500
+
+/** Dependencies shared by the attempts of all requests. */
 export interface RunOptions {
   clock: Clock
   random: RandomSource
@@ -32,76 +33,75 @@
   queue: BackendQueue
   fleet: BackendFleet
   statements: StatementIntake
-  /** When events that came close together are written. */
+  /** Schedules the writes of stream events. */
   pace: StreamPace
   log: DecisionLog
   findBudget: (service: string) => WindowBudget
 }
 
-/** What has become of one request over its attempts. */
+/** Progress of one request over its attempts. */
 interface RunProgress {
   sends: number
   /** Attempts that may have run. */
   runs: number
   stream: StreamProgress
-  /** A server's own failure, passed on when no other attempt does better. */
-  failure: { answer: ExchangeAnswer, body: Buffer } | undefined
-  /** Why the last attempt failed. */
+  /** Latest error response of a server, relayed if no other attempt succeeds. */
+  serverFailure: { answer: ExchangeAnswer, body: Buffer } | undefined
+  /** Error of the last attempt. */
   error: PulleystackError | undefined
-  /** What the next attempt costs; undefined when it costs nothing. */
-  permit: RetryPermit | undefined
+  /** Reserved from the retry budget for the next attempt; undefined when that is free. */
+  retryPermit: RetryPermit | undefined
 }
 
-/** Runs one request to its answer; rejects with the error that the client gets when no server's answer can be passed on. */
+/** Runs one request until its response has been sent; rejects with the error for the client if no server's response can be relayed. */
 export async function runRequest (opts: RunOptions, work: RoutedWork, client: ClientAnswer): Promise<void> {
-  const progress: RunProgress = { sends: 0, runs: 0, stream: work.stream, failure: undefined, error: undefined, permit: undefined }
+  const progress: RunProgress = { sends: 0, runs: 0, stream: work.stream, serverFailure: undefined, error: undefined, retryPermit: undefined }
   for (;;) {
-    const right = await acquireRight(opts, work, progress)
-    if (!right) break
-    const error = await runAttempt(opts, work, progress, right, client)
+    const admission = await admitAttempt(opts, work, progress)
+    if (!admission) break
+    const error = await runAttempt(opts, work, progress, admission, client)
     if (!error) return
     progress.error = error
     if (mayRetry(opts, work, progress, error)) continue
-    if (!progress.failure || client.hasBegun) throw createFinalError(progress, error)
+    if (!progress.serverFailure || client.hasBegun) throw createFinalError(progress, error)
     break
   }
-  if (progress.failure) client.sendWhole(progress.failure.answer, progress.failure.body)
+  if (progress.serverFailure) client.sendBuffered(progress.serverFailure.answer, progress.serverFailure.body)
 }
 
-/** What one attempt needs. */
-interface AttemptRight {
-  place: BackendPlace
+interface AttemptAdmission {
+  slot: BackendSlot
   run: SuspectRun
 }
 
-/** The right to the next attempt; undefined when a server's failure is all there is to pass on. */
-async function acquireRight (opts: RunOptions, work: RoutedWork, progress: RunProgress): Promise<AttemptRight | undefined> {
+/** Admits the next attempt; undefined if there can be none and a server's error response has to be relayed. */
+async function admitAttempt (opts: RunOptions, work: RoutedWork, progress: RunProgress): Promise<AttemptAdmission | undefined> {
   try {
-    const right = await admitToPlace(opts, work)
-    if (!progress.error || takePermit(progress)) return right
-    right.run.release()
-    right.place.end()
+    const admission = await admitToSlot(opts, work)
+    if (!progress.error || takeRetryPermit(progress)) return admission
+    admission.run.release()
+    admission.slot.release()
     throw progress.error
   } catch (thrown) {
-    progress.permit?.giveBack()
-    if (progress.failure) return undefined
+    progress.retryPermit?.giveBack()
+    if (progress.serverFailure) return undefined
     const error = convertToError(thrown)
     throw createFinalError(progress, error)
   }
 }
 
-/** A place for a request that may run; what becomes known of it while it waits for the place is judged anew. */
-async function admitToPlace (opts: RunOptions, work: RoutedWork): Promise<AttemptRight> {
+/** Acquires a slot; starts over if the request has become a suspect while it waited. */
+async function admitToSlot (opts: RunOptions, work: RoutedWork): Promise<AttemptAdmission> {
   for (;;) {
     const run = await opts.suspects.admit(work)
-    const place = await acquirePlace(opts, work, run)
-    if (!opts.suspects.hasChanged(work)) return { place, run }
-    place.end()
+    const slot = await acquireSlot(opts, work, run)
+    if (!opts.suspects.hasBecomeSuspect(work)) return { slot, run }
+    slot.release()
     run.release()
   }
 }
 
-async function acquirePlace (opts: RunOptions, work: RoutedWork, run: SuspectRun): Promise<BackendPlace> {
+async function acquireSlot (opts: RunOptions, work: RoutedWork, run: SuspectRun): Promise<BackendSlot> {
   try {
     return await opts.queue.acquire(work)
   } catch (thrown) {
@@ -110,71 +110,71 @@
   }
 }
 
-/** Pays for the attempt that is about to be made; false when it can't be paid for any more. */
-function takePermit (progress: RunProgress): boolean {
-  const { permit } = progress
-  progress.permit = undefined
-  return permit?.take() ?? true
+/** Uses the reserved retry permit, if any; false if the budget no longer covers it. */
+function takeRetryPermit (progress: RunProgress): boolean {
+  const { retryPermit } = progress
+  progress.retryPermit = undefined
+  return retryPermit?.take() ?? true
 }
 
-/** Sends the request once; gives the error when the answer was not passed on whole. */
+/** Sends the request once; returns the error if the response was not relayed completely. */
 async function runAttempt (
   opts: RunOptions,
   work: RoutedWork,
   progress: RunProgress,
-  { place, run }: AttemptRight,
+  { slot, run }: AttemptAdmission,
   client: ClientAnswer,
 ): Promise<PulleystackError | undefined> {
   const { clock, log, suspects } = opts
   const sentAt = clock.readTime()
   const attempt = createAttemptSignal(clock, work, {
-    isWatched: mayRepeat(work) && progress.runs + 1 < work.route.maxAttempts,
-    canMove: () => progress.sends < MAX_SENDS && opts.findBudget(work.service.name).left >= 1 && opts.queue.hasPlaceBeside(work, place),
+    isSilenceWatched: mayRepeat(work) && progress.runs + 1 < work.route.maxAttempts,
+    canSwitchServer: () => progress.sends < MAX_SENDS && opts.findBudget(work.service.name).left >= 1 && opts.queue.hasSlotElsewhere(work, slot),
   })
   progress.sends++
-  const facts = { request: work.requestId, backend: place.backend.id, send: progress.sends }
+  const facts = { request: work.requestId, backend: slot.backend.id, send: progress.sends }
   log.record(DecisionKinds.ATTEMPT_SENT, {
     ...facts,
-    running: place.backend.readLoad().running,
-    prefillTokens: place.backend.readLoad().prefillTokens,
-    keptTokens: place.choice.keptTokens,
+    running: slot.backend.readLoad().running,
+    prefillTokens: slot.backend.readLoad().prefillTokens,
+    keptTokens: slot.choice.keptTokens,
     leftMs: Math.round(work.deadline - sentAt),
-    limitPerSecond: place.backend.stated.limit.perSecond,
+    limitPerSecond: slot.backend.stated.limit.perSecond,
   })
   try {
-    const exchange = buildExchange(opts, work, progress, place)
-    place.noteSent()
+    const exchange = buildExchange(opts, work, progress, slot)
+    slot.noteSent()
     const answer = await openExchange({ ...exchange, signal: attempt.signal })
     progress.runs++
-    place.backend.noteReached(clock.readTime())
-    place.noteAnswered()
-    const failed = await passOn(opts, { work, progress, place, client, answer, attempt })
+    slot.backend.noteReached(clock.readTime())
+    slot.noteAnswered()
+    const serverError = await relayAnswer(opts, { work, progress, slot, client, answer, attempt })
     suspects.noteServed(work)
-    if (failed) return noteServerFailure(opts, work, place, failed, facts)
-    const hasFailed = answer.status >= SERVER_FAILURE
-    opts.fleet.noteOutcome(place.backend, hasFailed, clock.readTime())
-    if (!hasFailed) place.backend.outlier.noteSuccess()
+    if (serverError) return recordFailure(opts, work, slot, serverError, facts)
+    const hasFailed = answer.status >= MIN_SERVER_ERROR_STATUS
+    opts.fleet.noteOutcome(slot.backend, hasFailed, clock.readTime())
+    if (!hasFailed) slot.backend.outlier.noteSuccess()
     return undefined
   } catch (thrown) {
     const error = attempt.signal.aborted && attempt.signal.reason instanceof PulleystackError ? withRan(attempt.signal.reason, thrown) : convertToError(thrown)
     if (error.ran !== Ran.NO && progress.runs < progress.sends) progress.runs++
-    // A server that was silent may still be there; that its connections broke is what tells.
+    // Only a lost connection indicates a crash; a silent server may still be alive.
     if (error.code === 'ATTEMPT_FAILED_UNKNOWN' && !attempt.signal.aborted) {
-      await suspects.noteBroken(work, { backend: place.backend, run, send: progress.sends, sentAt })
+      await suspects.checkServerEnd(work, { backend: slot.backend, run, send: progress.sends, sentAt })
     }
-    return noteServerFailure(opts, work, place, error, facts)
+    return recordFailure(opts, work, slot, error, facts)
   } finally {
     attempt.release()
     run.release()
-    place.end()
+    slot.release()
   }
 }
 
-/** Passes an answer on; gives an error for a server's own failure that another attempt may mend. */
-async function passOn (opts: RunOptions, it: {
+/** Relays a response; returns an error instead if the server failed and another attempt may succeed. */
+async function relayAnswer (opts: RunOptions, it: {
   work: RoutedWork
   progress: RunProgress
-  place: BackendPlace
+  slot: BackendSlot
   client: ClientAnswer
   answer: ExchangeAnswer
   attempt: AttemptSignal
@@ -187,32 +187,32 @@
       client,
       progress: progress.stream,
       pace: opts.pace,
-      onEvents: it.attempt.noteBytes,
-      onHeld: it.attempt.noteHeld,
-      onFirstEvent: () => it.place.notePrefilled(),
+      onEvents: it.attempt.noteActivity,
+      onBackpressure: it.attempt.notePaused,
+      onFirstEvent: () => it.slot.notePrefilled(),
     })
     return undefined
   }
   const body = await answer.readWhole(MAX_BODY_BYTES)
-  it.attempt.noteBytes()
-  it.place.notePrefilled()
-  if (client.hasBegun) return new PulleystackError('ATTEMPT_FAILED_UNKNOWN', `The server answered ${answer.status} where a stream was to go on`)
-  if (answer.status < SERVER_FAILURE) {
-    client.sendWhole(answer, body)
+  it.attempt.noteActivity()
+  it.slot.notePrefilled()
+  if (client.hasBegun) return new PulleystackError('ATTEMPT_FAILED_UNKNOWN', `The server responded with status ${answer.status} instead of resuming the stream`)
+  if (answer.status < MIN_SERVER_ERROR_STATUS) {
+    client.sendBuffered(answer, body)
     return undefined
   }
-  progress.failure = { answer, body }
+  progress.serverFailure = { answer, body }
   if (!mayRepeat(work)) {
-    client.sendWhole(answer, body)
+    client.sendBuffered(answer, body)
     return undefined
   }
-  return new PulleystackError('ATTEMPT_FAILED_UNKNOWN', `The server answered ${answer.status}`)
+  return new PulleystackError('ATTEMPT_FAILED_UNKNOWN', `The server responded with status ${answer.status}`)
 }
 
-function buildExchange (opts: RunOptions, work: RoutedWork, progress: RunProgress, place: BackendPlace): Omit<Parameters<typeof openExchange>[0], 'signal'> {
+function buildExchange (opts: RunOptions, work: RoutedWork, progress: RunProgress, slot: BackendSlot): Omit<Parameters<typeof openExchange>[0], 'signal'> {
   const sentAt = opts.clock.readTime()
   const headers = opts.protocol.buildForwardHeaders(work.rawHeaders, {
-    backendId: place.backend.id,
+    backendId: slot.backend.id,
     waitMs: Math.max(1, Math.floor(work.deadline - sentAt)),
     priority: work.priority,
     team: work.team?.name,
@@ -224,39 +224,39 @@
     agent: opts.agent,
     protocol: opts.protocol,
     clock: opts.clock,
-    address: place.backend.entry.address,
+    address: slot.backend.entry.address,
     method: work.method,
     path: work.path,
     headers,
     body: work.body,
     requestId: work.requestId,
-    connectMs: CONNECT_MS,
-    onHead: (head) => opts.statements.takeAnswer(place.backend, head, { requestId: work.requestId, sentAt }),
+    connectMs: CONNECT_TIMEOUT_MS,
+    onHead: (head) => opts.statements.takeAnswer(slot.backend, head, { requestId: work.requestId, sentAt }),
   }
 }
 
-function noteServerFailure (
+function recordFailure (
   opts: RunOptions,
   work: RoutedWork,
-  place: BackendPlace,
+  slot: BackendSlot,
   error: PulleystackError,
   facts: { request: string, backend: string, send: number },
 ): PulleystackError {
-  const { backend } = place
-  // One that wants rest is left alone by all requests until then, and may have this one afterwards.
+  const { backend } = slot
+  // A paused server gets no requests anyway, and may get this one after its pause.
   if (!backend.stated.backoff.isActive(opts.clock.readTime())) work.excluded.add(backend.id)
   opts.log.record(DecisionKinds.ATTEMPT_FAILED, { ...facts, code: error.code, ran: error.ran, reason: error.message })
   if (error.code === 'ATTEMPT_FAILED_NOT_RUN') backend.noteUnreachable(opts.clock.readTime())
   const isSilent = error.code === 'DEADLINE_UNKNOWN' && work.stream.events === 0
-  const isOwnFault = !isSilent && (error.code === 'CALLER_GONE' || error.code === 'BACKEND_REFUSED' || error.code === 'ATTEMPT_FAILED_NOT_RUN' || work.signal.aborted)
-  if (!isOwnFault) opts.fleet.noteOutcome(backend, true, opts.clock.readTime())
-  if (!isOwnFault && backend.outlier.noteFailure(opts.clock.readTime(), opts.random.readFraction())) {
+  const isUncounted = !isSilent && (error.code === 'CALLER_GONE' || error.code === 'BACKEND_REFUSED' || error.code === 'ATTEMPT_FAILED_NOT_RUN' || work.signal.aborted)
+  if (!isUncounted) opts.fleet.noteOutcome(backend, true, opts.clock.readTime())
+  if (!isUncounted && backend.outlier.noteFailure(opts.clock.readTime(), opts.random.readFraction())) {
     opts.log.record(DecisionKinds.BACKEND_EJECTED, { backend: backend.id, address: backend.entry.address })
   }
   return error
 }
 
-/** Whether another attempt may be made; reserves what it costs. */
+/** Whether another attempt may be made; reserves its retry permit. */
 function mayRetry (opts: RunOptions, work: RoutedWork, progress: RunProgress, error: PulleystackError): boolean {
   if (work.signal.aborted || progress.sends >= MAX_SENDS) return false
   if (progress.runs > 0 && !mayRepeat(work)) return false
@@ -266,15 +266,15 @@
   return true
 }
 
-/** Reserves what another attempt costs; false when the budget does not allow one. */
+/** Reserves a retry permit; false if the budget is exhausted. */
 function reserveRetry (opts: RunOptions, work: RoutedWork, progress: RunProgress, error: PulleystackError): boolean {
   const { name: service } = work.service
   const budget = opts.findBudget(service)
   const facts = budget.describe()
-  // A server that could not be connected to has seen nothing, so that this costs no budget.
+  // A failed connection put no load on the server, so it uses no budget.
   const isFree = error.code === 'ATTEMPT_FAILED_NOT_RUN'
-  progress.permit = isFree ? undefined : budget.reserve()
-  const verdict: RetryVerdict = isFree ? 'free' : progress.permit ? 'paid' : 'denied'
+  progress.retryPermit = isFree ? undefined : budget.reserve()
+  const verdict: RetryVerdict = isFree ? 'free' : progress.retryPermit ? 'paid' : 'denied'
   opts.log.record(DecisionKinds.RETRY_JUDGED, { request: work.requestId, service, verdict, ...facts })
   return verdict !== 'denied'
 }
@@ -283,17 +283,17 @@
   return work.route.repeat === RepeatModes.REPEATABLE
 }
 
-/** The error that says no more and no less than is known about whether the request ran. */
+/** Creates the error for the client. It states that the request did not run only if no attempt may have run. */
 function createFinalError (progress: RunProgress, cause: PulleystackError): PulleystackError {
-  return progress.runs === 0 ? cause : createUncertain(cause)
+  return progress.runs === 0 ? cause : createUncertainError(cause)
 }
 
-function createUncertain (cause: PulleystackError): PulleystackError {
+function createUncertainError (cause: PulleystackError): PulleystackError {
   if (cause.ran !== Ran.NO) return cause
   return new PulleystackError('ATTEMPT_FAILED_UNKNOWN', cause.message, { cause })
 }
 
-// The reason says why the attempt ended; whether it may have run is what the exchange knows.
+// The reason explains why the attempt was aborted; whether it may have run is known from the exchange's own error.
 function withRan (reason: PulleystackError, thrown: unknown): PulleystackError {
   const { ran } = convertToError(thrown)
   return new PulleystackError(reason.code, reason.message, { cause: thrown, ran: ran === Ran.NO ? Ran.NO : Ran.UNKNOWN })
--- a/gateway/routed/src/waitForReads.ts
+++ b/gateway/routed/src/waitForReads.ts
@@ -1,13 +1,13 @@
 /**
- * Turns of the event loop by which the end of a connection that has come is known: its last bytes are read in one, its end in the next, and a third closes
- * it when the body was larger than what Node holds of it (100 KB in the test; two turns were too few, three enough). One is to spare; four take 8 us.
+ * Event loop turns until a closed connection is noticed: its last bytes are read in one, its end in the next, and a third closes it when the body
+ * exceeds Node's read buffer. One turn is spare.
  */
-const TURNS = 4
+const EVENT_LOOP_TURNS = 4
 
 /**
- * Resolves once what had come on all connections by now has been read. A process that was held up finds requests and the ends of their connections at
- * one time and reads the requests first; without this it would send on what nobody waits for any more.
+ * Resolves once all data that has already arrived on connections has been read. After a stall of the process, this keeps requests of clients that have
+ * already disconnected from being forwarded.
  */
 export async function waitForReads (): Promise<void> {
-  for (let turn = 0; turn < TURNS; turn++) await new Promise(setImmediate)
+  for (let turn = 0; turn < EVENT_LOOP_TURNS; turn++) await new Promise(setImmediate)
 }
--- a/gateway/routed/test/BackendQueue.test.ts
+++ b/gateway/routed/test/BackendQueue.test.ts
@@ -6,7 +6,7 @@
 import type { NeedAnswer, ResidencyClient } from '@pulleystack/placement.residency'
 import { BackendFleet, type Backend, type BackendEntry } from '@pulleystack/routing.fleet'
 import { SilentDecisionLog } from '@pulleystack/timeline.decisions'
-import { BackendPlace, BackendQueue } from '../src/index.js'
+import { BackendSlot, BackendQueue } from '../src/index.js'
 import { createStreamProgress } from '../src/relayStream.js'
 import type { RoutedWork } from '../src/RoutedWork.js'
 
@@ -29,84 +29,87 @@
   } as unknown as RoutedWork
 }
 
-describe('places at backend servers', () => {
+describe('BackendQueue', () => {
   let queue: BackendQueue
   let clock: ManualClock
-  let answer: NeedAnswer
+  let weightsAnswer: NeedAnswer
   let fleet: BackendFleet
 
   beforeEach(() => {
     clock = new ManualClock()
-    answer = { coming: false, reason: '' }
+    weightsAnswer = { coming: false, reason: '' }
     fleet = new BackendFleet()
     fleet.replaceAll([createEntry('a'), createEntry('b')])
     const residency = {
-      requestWeights: () => Promise.resolve(answer),
+      requestWeights: () => Promise.resolve(weightsAnswer),
       noteEnded: () => undefined,
     } as unknown as ResidencyClient
     queue = new BackendQueue({ clock, random: new RandomSource(1), fleet, residency, log: new SilentDecisionLog(), dataHall: 'z', policy: DEFAULT_POLICY })
   })
 
-  describe('for an answer whose server is silent', () => {
-    it('are found beside its own', async () => {
+  describe('looking for a slot elsewhere', () => {
+    it('finds one at another server', async () => {
       const work = createWork('held')
-      assert.equal(queue.hasPlaceBeside(work, await queue.acquire(work)), true)
+      assert.equal(queue.hasSlotElsewhere(work, await queue.acquire(work)), true)
     })
 
-    it('are found also while a request waits for a model that no server holds', async () => {
+    it('finds one while another request waits for a model that no server holds', async () => {
       const work = createWork('held')
-      const place = await queue.acquire(work)
+      const slot = await queue.acquire(work)
       void queue.acquire(createWork('elsewhere')).catch(() => undefined)
       assert.equal(queue.size, 1)
-      assert.equal(queue.hasPlaceBeside(work, place), true)
+      assert.equal(queue.hasSlotElsewhere(work, slot), true)
     })
 
-    it('are not found where the request has failed before', async () => {
+    it('finds none at a server where the request has failed before', async () => {
       const work = createWork('held')
-      const place = await queue.acquire(work)
-      work.excluded.add(place.backend.id === 'a' ? 'b' : 'a')
-      assert.equal(queue.hasPlaceBeside(work, place), false)
+      const slot = await queue.acquire(work)
+      work.excluded.add(slot.backend.id === 'a' ? 'b' : 'a')
+      assert.equal(queue.hasSlotElsewhere(work, slot), false)
     })
   })
 
-  describe('for weights that no server holds', () => {
-    const ask = (changes: Partial<RoutedWork>): Promise<unknown> => queue.acquire({ ...createWork('elsewhere'), ...changes }).catch((error: unknown) => error)
+  describe('when no server holds the weights', () => {
+    const acquire = (changes: Partial<RoutedWork>): Promise<unknown> => queue.acquire({
+      ...createWork('elsewhere'),
+      ...changes,
+    }).catch((error: unknown) => error)
 
-    it('are waited for when they come before the client leaves', async () => {
-      answer = { coming: true, expectedMs: 5_000 }
-      void ask({ deadline: 9_000 })
+    it('waits if they are expected before the deadline', async () => {
+      weightsAnswer = { coming: true, expectedMs: 5_000 }
+      void acquire({ deadline: 9_000 })
       await clock.advance(4_900)
       assert.equal(queue.size, 1)
     })
 
-    it('are refused at once, with the time at which they come, when that is later', async () => {
-      answer = { coming: true, expectedMs: 5_000 }
-      const refused = await ask({ deadline: 4_000 })
-      assert.ok(refused instanceof PulleystackError)
-      assert.equal(refused.ran, Ran.NO)
-      assert.ok((refused.retryAfterSeconds ?? 0) >= 4)
+    it('rejects at once, with the expected time as retry delay, if they are expected after the deadline', async () => {
+      weightsAnswer = { coming: true, expectedMs: 5_000 }
+      const rejection = await acquire({ deadline: 4_000 })
+      assert.ok(rejection instanceof PulleystackError)
+      assert.equal(rejection.ran, Ran.NO)
+      assert.ok((rejection.retryAfterSeconds ?? 0) >= 4)
     })
 
-    it('are refused at once when even a load that began now would end too late', async () => {
-      answer = { coming: false, reason: '', earliestMs: 5_500 }
-      assert.ok(await ask({ deadline: 5_000 }) instanceof PulleystackError)
-      void ask({ deadline: 9_000 })
+    it('rejects at once if a load started now would end after the deadline', async () => {
+      weightsAnswer = { coming: false, reason: '', earliestMs: 5_500 }
+      assert.ok(await acquire({ deadline: 5_000 }) instanceof PulleystackError)
+      void acquire({ deadline: 9_000 })
       await clock.advance(100)
       assert.equal(queue.size, 1)
     })
 
-    it('are refused at once when nobody orders loads and the shortest one ends too late', async () => {
+    it('rejects at once if no load is ordered and the shortest possible one would end after the deadline', async () => {
       const models = [{ name: 'elsewhere', loadSeconds: 5.5, diskSeconds: 1.2, memorySeconds: 0.6 }]
       const service = { ...createWork('elsewhere').service, serving: { cacheTokens: 100_000, batchSlots: 8, models } } as unknown as RoutedWork['service']
-      assert.ok(await ask({ service, deadline: 5_000 }) instanceof PulleystackError)
-      void ask({ service, deadline: 9_000 })
+      assert.ok(await acquire({ service, deadline: 5_000 }) instanceof PulleystackError)
+      void acquire({ service, deadline: 9_000 })
       await clock.advance(100)
       assert.equal(queue.size, 1)
     })
 
-    it('are not waited for beyond the patience of the client', async () => {
+    it('does not wait beyond the patience of the client', async () => {
       const route = { ...createWork('elsewhere').route, patienceMs: 2_000 }
-      void ask({ route })
+      void acquire({ route })
       await clock.advance(1_900)
       assert.equal(queue.size, 1)
       await clock.advance(200)
@@ -114,11 +117,11 @@
     })
   })
 
-  describe('while all servers that hold the weights want rest', () => {
-    const rest = (ms: number): void => fleet.listAll().forEach((backend) => void fleet.noteRetryAfter(backend, ms, clock.readTime()))
+  describe('while all servers that hold the weights are paused', () => {
+    const pauseServers = (ms: number): void => fleet.listAll().forEach((backend) => void fleet.noteRetryAfter(backend, ms, clock.readTime()))
 
-    it('are waited for until the first server takes requests again', async () => {
-      rest(2_000)
+    it('waits until the pause of the first server ends', async () => {
+      pauseServers(2_000)
       fleet.noteRetryAfter(fleet.find('b') as Backend, 3_000, clock.readTime())
       const waiting = queue.acquire(createWork('held'))
       await clock.advance(1_990)
@@ -127,32 +130,32 @@
       assert.equal((await waiting).backend.id, 'a')
     })
 
-    it('are refused at once, with the time at which the first one is back, when that is too late', async () => {
-      rest(5_000)
-      const refused = await queue.acquire({ ...createWork('held'), deadline: 4_000 }).catch((error: unknown) => error)
-      assert.ok(refused instanceof PulleystackError)
-      assert.equal(refused.code, 'OVERLOADED')
-      assert.equal(refused.ran, Ran.NO)
-      assert.ok((refused.retryAfterSeconds ?? 0) >= 4)
+    it('rejects at once, with the end of the first pause as retry delay, if that is too late', async () => {
+      pauseServers(5_000)
+      const rejection = await queue.acquire({ ...createWork('held'), deadline: 4_000 }).catch((error: unknown) => error)
+      assert.ok(rejection instanceof PulleystackError)
+      assert.equal(rejection.code, 'OVERLOADED')
+      assert.equal(rejection.ran, Ran.NO)
+      assert.ok((rejection.retryAfterSeconds ?? 0) >= 4)
     })
 
-    it('are handed out afterwards by the answers that come, and not to all at once', async () => {
+    it('assigns slots gradually after the pause, as responses arrive', async () => {
       fleet.remove('b')
-      rest(1_000)
-      const places: BackendPlace[] = []
-      for (let at = 0; at < 8; at++) void queue.acquire(createWork('held')).then((place) => places.push(place))
+      pauseServers(1_000)
+      const slots: BackendSlot[] = []
+      for (let at = 0; at < 8; at++) void queue.acquire(createWork('held')).then((slot) => slots.push(slot))
       await clock.advance(1_100)
-      assert.equal(places.length, 1)
-      places[0]?.noteAnswered()
+      assert.equal(slots.length, 1)
+      slots[0]?.noteAnswered()
       await clock.advance(1)
-      assert.equal(places.length, 3)
-      places.forEach((place) => place.noteAnswered())
+      assert.equal(slots.length, 3)
+      slots.forEach((slot) => slot.noteAnswered())
       await clock.advance(1)
-      assert.equal(places.length, 7)
+      assert.equal(slots.length, 7)
     })
 
-    it('are found at a server that holds the weights by then', async () => {
-      rest(9_000)
+    it('assigns a slot at another server that has come to hold the weights', async () => {
+      pauseServers(9_000)
       const waiting = queue.acquire(createWork('held'))
       await clock.advance(10)
       fleet.put(createEntry('c'))
@@ -160,45 +163,45 @@
     })
   })
 
-  describe('when a request that is late waits for a place', () => {
-    const fill = async (): Promise<BackendPlace[]> => Promise.all(Array.from({ length: 16 }, () => queue.acquire(createWork('held'))))
+  describe('when requests wait for slots at several instances', () => {
+    const fillServers = async (): Promise<BackendSlot[]> => Promise.all(Array.from({ length: 16 }, () => queue.acquire(createWork('held'))))
 
-    it('are left to those at other instances that can still be in time', async () => {
-      const places = await fill()
-      const late = { ...createWork('held'), firstTriedAt: -6_000 }
-      let hasPlace = false
-      void queue.acquire(late).then(() => {
-        hasPlace = true
+    it('lets an overdue request yield to requests elsewhere that can still meet their targets', async () => {
+      const slots = await fillServers()
+      const overdueWork = { ...createWork('held'), firstTriedAt: -6_000 }
+      let hasSlot = false
+      void queue.acquire(overdueWork).then(() => {
+        hasSlot = true
       })
       await clock.advance(10)
       fleet.waiting.takeOther('other', [['s|held', 1]])
-      places[0]?.end()
+      slots[0]?.release()
       await clock.advance(10)
-      assert.equal(hasPlace, false)
+      assert.equal(hasSlot, false)
       fleet.waiting.takeOther('other', [])
       queue.pump()
       await clock.advance(10)
-      assert.equal(hasPlace, true)
+      assert.equal(hasSlot, true)
     })
 
-    it('are yielded to none once the others have heard that it became late as well', async () => {
-      await fill()
+    it('announces that a waiting request has become overdue, so that others stop yielding to it', async () => {
+      await fillServers()
       const { targetLatencyMs } = createWork('held').route
       void queue.acquire(createWork('held'))
-      const told: [string, number][][] = []
-      fleet.loadChanges.subscribe(() => told.push(fleet.waiting.listOwn()))
+      const announced: [string, number][][] = []
+      fleet.loadChanges.subscribe(() => announced.push(fleet.waiting.listOwn()))
       await clock.advance(targetLatencyMs + 10)
       assert.equal(queue.size, 1)
-      assert.deepEqual(told.at(-1), [])
+      assert.deepEqual(announced.at(-1), [])
     })
 
-    it('are its own when it can still be in time', async () => {
-      const places = await fill()
+    it('does not let a request yield that can still meet its target', async () => {
+      const slots = await fillServers()
       fleet.waiting.takeOther('other', [['s|held', 1]])
       const waiting = queue.acquire(createWork('held'))
       await clock.advance(10)
-      places[0]?.end()
-      assert.ok(await waiting instanceof BackendPlace)
+      slots[0]?.release()
+      assert.ok(await waiting instanceof BackendSlot)
     })
   })
 })
--- a/gateway/routed/test/InstanceRelay.test.ts
+++ b/gateway/routed/test/InstanceRelay.test.ts
@@ -21,10 +21,9 @@
   ],
 } as unknown as RoutedProtocol
 
-/** No hold-up of the process makes it longer. */
 const LEFT_MS = 60_000
 
-describe('an instance that hands requests on', () => {
+describe('InstanceRelay', () => {
   let servers: http.Server[]
   let targets: RelayTarget[]
   let relay: InstanceRelay
@@ -36,7 +35,7 @@
     await once(server, 'listening')
     return `127.0.0.1:${(server.address() as AddressInfo).port}`
   }
-  /** Another instance that answers with a version of the configuration. */
+  /** Starts another instance that has the given configuration version. */
   const startTarget = async (version: number, answer: http.RequestListener): Promise<void> => {
     const address = await listen(http.createServer((request, response) => {
       response.setHeader(RelayHeaders.VERSION, version)
@@ -45,11 +44,11 @@
     }))
     targets.push({ instance: `t${targets.length}`, address })
   }
-  const answerBy = (version: number): http.RequestListener => (request, response) => {
+  const createVersionedHandler = (version: number): http.RequestListener => (request, response) => {
     if (Number(request.headers[RelayHeaders.MIN_VERSION]) <= version) response.end(`by ${version}`)
     else response.writeHead(503, { [RelayHeaders.OUTDATED]: '1' }).end()
   }
-  const ask = async (signal?: AbortSignal): Promise<Response> => {
+  const sendRequest = async (signal?: AbortSignal): Promise<Response> => {
     const { port } = front.address() as AddressInfo
     return fetch(`http://127.0.0.1:${port}/a/b?c`, { method: 'POST', body: 'asked', headers: { 'request-id': 'q1' }, signal })
   }
@@ -61,10 +60,10 @@
     relay = new InstanceRelay({ clock, agent: new BackendAgent(clock), protocol, log: new SilentDecisionLog(), listTargets: () => targets })
     front = http.createServer((request, response) => {
       const client = new ClientAnswer({ response, ownHeaders: {}, mustClose: () => false })
-      const ended = new AbortController()
-      response.once('close', () => ended.abort(new PulleystackError('CALLER_GONE', 'gone')))
+      const clientGone = new AbortController()
+      response.once('close', () => clientGone.abort(new PulleystackError('CALLER_GONE', 'gone')))
       const { method = '', url: path = '', rawHeaders } = request
-      const work = { requestId: 'q1', method, path, rawHeaders, body: Buffer.from('asked'), deadline: clock.readTime() + LEFT_MS, signal: ended.signal }
+      const work = { requestId: 'q1', method, path, rawHeaders, body: Buffer.from('asked'), deadline: clock.readTime() + LEFT_MS, signal: clientGone.signal }
       relay.run(work, client).catch((error: PulleystackError) => client.sendError(error, 'q1'))
     })
     await listen(front)
@@ -77,7 +76,7 @@
     }
   })
 
-  it('passes method, path, body and answer on unchanged, and nothing of what the instances tell each other', async () => {
+  it('relays method, path, body and response unchanged, without the headers between instances', async () => {
     await startTarget(3, (request, response) => {
       void (async () => {
         let body = ''
@@ -85,7 +84,7 @@
         response.writeHead(207, { 'made-by': 's' }).end(`${request.method} ${request.url} ${body}`)
       })()
     })
-    const answer = await ask()
+    const answer = await sendRequest()
     assert.equal(answer.status, 207)
     assert.equal(await answer.text(), 'POST /a/b?c asked')
     assert.equal(answer.headers.get('made-by'), 's')
@@ -93,64 +92,64 @@
     assert.equal(relay.newestVersion, 3)
   })
 
-  it('names the time that is left, not the one that there was', async () => {
+  it('forwards the remaining time instead of the original one', async () => {
     await startTarget(3, (request, response) => response.end(request.headers['left-ms']))
-    const left = Number(await (await ask()).text())
-    assert.ok(left > 0 && left <= LEFT_MS, `${left}`)
+    const remainingMs = Number(await (await sendRequest()).text())
+    assert.ok(remainingMs > 0 && remainingMs <= LEFT_MS, `${remainingMs}`)
   })
 
-  it('asks the next one when one is gone', async () => {
+  it('tries the next instance if one is unreachable', async () => {
     targets.push({ instance: 'gone', address: '127.0.0.1:1' })
-    await startTarget(3, answerBy(3))
-    assert.equal(await (await ask()).text(), 'by 3')
+    await startTarget(3, createVersionedHandler(3))
+    assert.equal(await (await sendRequest()).text(), 'by 3')
   })
 
-  it('never shows a client an older configuration than one before', async () => {
-    await startTarget(5, answerBy(5))
-    assert.equal(await (await ask()).text(), 'by 5')
+  it('never serves a request with an older configuration than an earlier one', async () => {
+    await startTarget(5, createVersionedHandler(5))
+    assert.equal(await (await sendRequest()).text(), 'by 5')
     targets = []
-    await startTarget(4, answerBy(4))
-    const refused = await ask()
-    assert.equal(refused.status, 503)
-    assert.ok(refused.headers.get('retry-after') !== null)
-    await startTarget(6, answerBy(6))
-    assert.equal(await (await ask()).text(), 'by 6')
+    await startTarget(4, createVersionedHandler(4))
+    const rejection = await sendRequest()
+    assert.equal(rejection.status, 503)
+    assert.ok(rejection.headers.get('retry-after') !== null)
+    await startTarget(6, createVersionedHandler(6))
+    assert.equal(await (await sendRequest()).text(), 'by 6')
   })
 
-  it('refuses as not run when nobody is reached, and promises nothing once a request was sent', async () => {
+  it('reports a request as not run if no instance is reachable, but not once it has been sent', async () => {
     targets.push({ instance: 'gone', address: '127.0.0.1:1' })
     const client = {} as ClientAnswer
     const work = { requestId: 'q1', method: 'POST', path: '/', rawHeaders: [], body: undefined, deadline: undefined, signal: new AbortController().signal }
     await assert.rejects(relay.run(work, client), (error: PulleystackError) => error.ran === Ran.NO)
     targets = []
     await startTarget(3, (request) => request.socket.destroy())
-    assert.equal((await ask()).status, 502)
+    assert.equal((await sendRequest()).status, 502)
   })
 
-  it('passes a stream on as it comes, and never lets one that broke off look whole', async () => {
-    let breakOff: () => void = () => undefined
+  it('relays a stream as it arrives, and never makes an interrupted one look complete', async () => {
+    let destroyResponse: () => void = () => undefined
     await startTarget(3, (_, response) => {
       response.write('data: 1\n\n')
-      breakOff = () => response.destroy()
+      destroyResponse = () => response.destroy()
     })
-    const answer = await ask()
+    const answer = await sendRequest()
     const reader = answer.body?.getReader()
     assert.equal(new TextDecoder().decode((await reader?.read())?.value), 'data: 1\n\n')
-    breakOff()
+    destroyResponse()
     await assert.rejects(async () => reader?.read())
   })
 
-  it('ends the request at the other instance when its client leaves', async () => {
-    const left = new AbortController()
-    let leaveNoted: (value: unknown) => void = () => undefined
-    const noted = new Promise((resolve) => {
-      leaveNoted = resolve
+  it('aborts the request at the other instance when its client disconnects', async () => {
+    const clientAbort = new AbortController()
+    let resolveClosed: (value: unknown) => void = () => undefined
+    const closed = new Promise((resolve) => {
+      resolveClosed = resolve
     })
     await startTarget(3, (_, response) => {
-      response.once('close', leaveNoted)
-      left.abort()
+      response.once('close', resolveClosed)
+      clientAbort.abort()
     })
-    await assert.rejects(ask(left.signal))
-    await noted
+    await assert.rejects(sendRequest(clientAbort.signal))
+    await closed
   })
 })
--- a/gateway/routed/test/QueueSimulation.ts
+++ b/gateway/routed/test/QueueSimulation.ts
@@ -5,100 +5,104 @@
 import { BackendFleet } from '@pulleystack/routing.fleet'
 import { SilentDecisionLog } from '@pulleystack/timeline.decisions'
 import { BackendQueue } from '../src/index.js'
-import type { BackendPlace } from '../src/BackendSlot.js'
+import type { BackendSlot } from '../src/BackendSlot.js'
 import { createStreamProgress } from '../src/relayStream.js'
 import type { RoutedWork } from '../src/RoutedWork.js'
 
-/** How a kind of request comes and what it needs; milliseconds. */
+/** Arrival rate and requirements of one kind of request. */
 export interface Load {
   servers: number
   slots: number
-  /** Requests a second by the time since the start. */
-  readRate: (atMs: number) => number
-  lastsMs: number
+  requestsPerSecond: (atMs: number) => number
+  durationMs: number
   targetMs: number
   deadlineMs: number
   patienceMs: number
-  /** From the place to the first event, and to the end. */
+  /** Time from acquiring the slot to the first event. */
   firstMs: number
+  /** Time from acquiring the slot to releasing it. */
   heldMs: number
 }
 
-/** What became of the requests of one load. */
+/** Outcomes of the requests of one load. */
 export interface Outcome {
   asked: number
+  /** Served within the latency target. */
   inAim: number
+  /** Served past the latency target. */
   late: number
+  /** Rejected, or given up by the client. */
   refused: number
-  /** Requests that were not served and had waited for longer than a moment, and how long they had waited together, in seconds. */
+  /** Requests that were not served after more than a brief wait. */
   waitedInVain: number
+  /** Sum of their waits. */
   vainSeconds: number
-  /** Greatest time that one waited and was not served. */
+  /** Longest wait of a request that was not served. */
   longestVainMs: number
 }
 
 const TICK_MS = 10
-/** As the users value it: nothing is charged for up to an eighth of the target. */
-const MOMENT_SHARE = 0.125
+/** A wait of up to this share of the latency target counts as brief. */
+const BRIEF_WAIT_SHARE = 0.125
 
-/** What the outcome is worth to callers: full credit in time, the late share after that, and what waits in vain cost by their time. */
-export function computeWorth (outcome: Outcome, load: Load, lateShare = 0.3): number {
-  const vainCost = outcome.vainSeconds * 1_000 / Math.min(load.deadlineMs, load.patienceMs)
-  return (outcome.inAim + lateShare * outcome.late - vainCost) / outcome.asked
+/** Scores an outcome: 1 per request within its target, `lateShare` per late one, minus a cost for waits without service; as a mean. */
+export function computeScore (outcome: Outcome, load: Load, lateShare = 0.3): number {
+  const waitCost = outcome.vainSeconds * 1_000 / Math.min(load.deadlineMs, load.patienceMs)
+  return (outcome.inAim + lateShare * outcome.late - waitCost) / outcome.asked
 }
 
-/** Plays a load against the queue in simulated time. With `isRefusingWhenFull` nobody waits at all. */
-export async function playLoad (load: Load, policy: Policy, seed: number, isRefusingWhenFull = false): Promise<Outcome> {
+/** Runs a load against the queue in simulated time. With `isRejectingWhenFull` no request waits. */
+export async function simulateLoad (load: Load, policy: Policy, seed: number, isRejectingWhenFull = false): Promise<Outcome> {
   const clock = new ManualClock()
   const random = new RandomSource(seed)
   const fleet = new BackendFleet()
   fleet.replaceAll(Array.from({ length: load.servers }, (_, at) => createEntry(`s${at}`, load.slots)))
   const residency = { requestWeights: () => Promise.resolve({ coming: false, reason: '' }), noteEnded: () => undefined } as unknown as ResidencyClient
-  // A stream of its own, so that two policies meet the same arrivals.
+  // A separate random source, so that different policies get the same arrivals.
   const queue = new BackendQueue({ clock, random: new RandomSource(seed + 1_000), fleet, residency, log: new SilentDecisionLog(), dataHall: 'z', policy })
   const outcome: Outcome = { asked: 0, inAim: 0, late: 0, refused: 0, waitedInVain: 0, vainSeconds: 0, longestVainMs: 0 }
-  const begin = async (): Promise<void> => {
+  const runRequest = async (): Promise<void> => {
     const arrivedAt = clock.readTime()
-    const left = new AbortController()
-    const cancel = clock.setTimer(Math.min(load.patienceMs, load.deadlineMs), () => left.abort())
-    const work = createWork(load, arrivedAt, left.signal)
+    const client = new AbortController()
+    const cancel = clock.setTimer(Math.min(load.patienceMs, load.deadlineMs), () => client.abort())
+    const work = createWork(load, arrivedAt, client.signal)
     outcome.asked++
-    const pace = 0.75 + random.readFraction() / 2
+    const speedFactor = 0.75 + random.readFraction() / 2
     const acquired = queue.acquire(work)
-    if (isRefusingWhenFull && queue.isWaiting(work)) left.abort()
-    const place = await acquired.catch((error: PulleystackError) => error)
-    if (place instanceof Error) {
+    if (isRejectingWhenFull && queue.isWaiting(work)) client.abort()
+    const slot = await acquired.catch((error: PulleystackError) => error)
+    if (slot instanceof Error) {
       outcome.refused++
-      noteVain(outcome, load, clock.readTime() - arrivedAt)
+      recordWastedWait(outcome, load, clock.readTime() - arrivedAt)
       cancel()
       return
     }
-    await serve(place, load, clock, pace)
+    await serve(slot, load, clock, speedFactor)
     cancel()
     const firstAfterMs = clock.readTime() - arrivedAt - (load.heldMs - load.firstMs)
     if (firstAfterMs <= load.targetMs * 1.1) outcome.inAim++
     else outcome.late++
   }
-  let owed = 0
-  for (let at = 0; at < load.lastsMs; at += TICK_MS) {
-    owed += load.readRate(at) * TICK_MS / 1_000 * 2 * random.readFraction()
-    for (; owed >= 1; owed--) void begin()
+  let dueRequests = 0
+  for (let at = 0; at < load.durationMs; at += TICK_MS) {
+    dueRequests += load.requestsPerSecond(at) * TICK_MS / 1_000 * 2 * random.readFraction()
+    for (; dueRequests >= 1; dueRequests--) void runRequest()
     await clock.advance(TICK_MS)
   }
   await clock.advance(load.deadlineMs + load.heldMs * 2)
   return outcome
 }
 
-async function serve (place: BackendPlace, load: Load, clock: ManualClock, pace: number): Promise<void> {
-  await clock.wait(load.firstMs * pace)
-  place.notePrefilled()
-  await clock.wait((load.heldMs - load.firstMs) * pace)
-  place.end()
+async function serve (slot: BackendSlot, load: Load, clock: ManualClock, speedFactor: number): Promise<void> {
+  await clock.wait(load.firstMs * speedFactor)
+  slot.notePrefilled()
+  await clock.wait((load.heldMs - load.firstMs) * speedFactor)
+  slot.release()
 }
 
-function noteVain (outcome: Outcome, load: Load, waitedMs: number): void {
+function recordWastedWait (outcome: Outcome, load: Load, waitedMs: number): void {
   outcome.longestVainMs = Math.max(outcome.longestVainMs, waitedMs)
-  if (waitedMs <= load.targetMs * MOMENT_SHARE) return
+  if (waitedMs <= load.targetMs * BRIEF_WAIT_SHARE) return
   outcome.waitedInVain++
   outcome.vainSeconds += waitedMs / 1_000
 }
--- a/gateway/routed/test/RoutedGateway.test.ts
+++ b/gateway/routed/test/RoutedGateway.test.ts
@@ -9,10 +9,9 @@
 import { RoutedGateway, type RoutedGatewayOptions } from '../src/index.js'
 
 const TIMEOUT_MS = 2_000
-/** Longer than any deadline. */
-const LONG_MS = 60_000
+const LONGER_THAN_DEADLINES_MS = 60_000
 
-/** An answer that its client never takes. */
+/** A response that its client never reads. */
 class UnreadResponse extends EventEmitter {
   readonly req = { socket: new EventEmitter(), complete: true }
   headersSent = false
@@ -36,7 +35,7 @@
   }
 }
 
-describe('the gateway for routed requests', () => {
+describe('RoutedGateway', () => {
   let clock: ManualClock
   let deadlines: number[]
   let gateway: RoutedGateway
@@ -58,7 +57,7 @@
       readTable: () => table,
       mustClose: () => false,
       onOutcome: () => undefined,
-      // Nothing may begin, so that each request is refused at once.
+      // Makes the gateway reject every request at once.
       mayBegin: (deadline: number) => {
         deadlines.push(deadline)
         return false
@@ -66,26 +65,26 @@
     } as unknown as RoutedGatewayOptions)
   })
 
-  it('counts the time of a request from its arrival, not from its turn on the connection', async () => {
+  it('counts the deadline from the arrival of a request, not from its turn on the connection', async () => {
     await clock.advance(1_500)
     void handle(500)
     await clock.advance(0)
     assert.deepEqual(deadlines, [500 + TIMEOUT_MS])
   })
 
-  describe('with an answer that its client never takes', () => {
+  describe('with a response that its client never reads', () => {
     beforeEach(() => {
       void handle()
     })
 
-    it('has it in hand while the client may still read', async () => {
+    it('counts the request as in flight while the client may still read', async () => {
       await clock.advance(TIMEOUT_MS)
       assert.equal(response.statusCode, 503)
       assert.equal(gateway.inFlight, 1)
     })
 
-    it('ends the connection in the end, so that a stop need not wait for it', async () => {
-      await clock.advance(LONG_MS)
+    it('closes the connection eventually, so that it does not delay a shutdown', async () => {
+      await clock.advance(LONGER_THAN_DEADLINES_MS)
       assert.equal(response.isDestroyed, true)
       assert.equal(gateway.inFlight, 0)
     })
--- a/gateway/routed/test/overload.test.ts
+++ b/gateway/routed/test/overload.test.ts
@@ -1,74 +1,70 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import { DEFAULT_POLICY } from '@pulleystack/config.settings'
-import { computeWorth, playLoad, type Load, type Outcome } from './QueueSimulation.js'
+import { computeScore, simulateLoad, type Load, type Outcome } from './QueueSimulation.js'
 
-/** Who waits in vain is one whose place was expected in time and came too late by chance. */
-const MAX_VAIN_SHARE = 0.06
+/** Allows for slots that were expected in time but became free too late. */
+const MAX_WASTED_WAIT_SHARE = 0.06
 const SEEDS = [1, 2, 3]
-const FIRST_COME = { ...DEFAULT_POLICY, waitEstimate: false, timelyFirst: false }
+const FIRST_COME_POLICY = { ...DEFAULT_POLICY, waitEstimate: false, timelyFirst: false }
 
-/** Drafts as on the users' sheets: a target of 0.8 s, clients that leave after 3.2 s, streams of a second; two servers end 32 of them in one. */
-const DRAFTS = { servers: 2, slots: 16, targetMs: 800, deadlineMs: 5_000, patienceMs: 3_200, firstMs: 150, heldMs: 1_000, lastsMs: 12_000 }
+/** The servers complete 32 requests per second. */
+const BASE_LOAD = { servers: 2, slots: 16, targetMs: 800, deadlineMs: 5_000, patienceMs: 3_200, firstMs: 150, heldMs: 1_000, durationMs: 12_000 }
 
-/**
- * What the queue may lose against first come first served: a burst that is over before it was seen to be one leaves room for those who were refused in it.
- */
-const SHORT_BURST_LOSS = 0.06
+/** A burst that ends before it is recognised leaves capacity for requests rejected during it. */
+const MAX_SHORT_BURST_LOSS = 0.06
 
-const LASTING: Record<string, Load> = {
-  /** A burst of three to five seconds beside steady demand, the commonest trouble of the users' days. */
-  'a burst of 2.5 times the demand for four seconds': { ...DRAFTS, readRate: (at) => at >= 3_000 && at < 7_000 ? 60 : 24 },
-  /** One model hot, before a further copy of it is there: a load from the store takes five to six seconds. */
-  'one model hot, by half again more than its places': { ...DRAFTS, readRate: (at) => at >= 2_000 ? 48 : 16 },
+const LASTING_LOADS: Record<string, Load> = {
+  'a burst of 2.5 times the demand for four seconds': { ...BASE_LOAD, requestsPerSecond: (at) => at >= 3_000 && at < 7_000 ? 60 : 24 },
+  /** Demand for one model before another copy of it is loaded. */
+  'demand for one model at 1.5 times its capacity': { ...BASE_LOAD, requestsPerSecond: (at) => at >= 2_000 ? 48 : 16 },
 }
 
-/** Many users at once, as when a portal opens. */
-const SHORT = { ...DRAFTS, readRate: (at: number) => at >= 3_000 && at < 3_200 ? 500 : 8 }
+const SHORT_BURST = { ...BASE_LOAD, requestsPerSecond: (at: number) => at >= 3_000 && at < 3_200 ? 500 : 8 }
 
-function describeFigures (own: Played, firstCome: Played, refusing: Played): string {
-  const figures = `${own.worth.toFixed(3)} against ${firstCome.worth.toFixed(3)} and ${refusing.worth.toFixed(3)} ${JSON.stringify(own.outcomes)}`
-  if (process.env['PULLEYSTACK_FIGURES'] !== undefined) console.log(figures)
-  return figures
+function describeScores (queued: SimulationResult, firstCome: SimulationResult, rejecting: SimulationResult): string {
+  const scores = `${queued.score.toFixed(3)} against ${firstCome.score.toFixed(3)} and ${rejecting.score.toFixed(3)} ${JSON.stringify(queued.outcomes)}`
+  if (process.env['PULLEYSTACK_FIGURES'] !== undefined) console.log(scores)
+  return scores
 }
 
-interface Played {
-  worth: number
+interface SimulationResult {
+  score: number
   outcomes: Outcome[]
 }
 
-async function playAll (load: Load, policy = DEFAULT_POLICY, isRefusingWhenFull = false): Promise<Played> {
+async function simulateAllSeeds (load: Load, policy = DEFAULT_POLICY, isRejectingWhenFull = false): Promise<SimulationResult> {
   const outcomes: Outcome[] = []
-  for (const seed of SEEDS) outcomes.push(await playLoad(load, policy, seed, isRefusingWhenFull))
-  return { outcomes, worth: outcomes.reduce((sum, outcome) => sum + computeWorth(outcome, load), 0) / outcomes.length }
+  for (const seed of SEEDS) outcomes.push(await simulateLoad(load, policy, seed, isRejectingWhenFull))
+  return { outcomes, score: outcomes.reduce((sum, outcome) => sum + computeScore(outcome, load), 0) / outcomes.length }
 }
 
-describe('a queue under overload', () => {
-  for (const [name, load] of Object.entries(LASTING)) {
+describe('BackendQueue under overload', () => {
+  for (const [name, load] of Object.entries(LASTING_LOADS)) {
     describe(`by ${name}`, () => {
-      it('is worth more to callers than first come first served and than refusing whoever finds no place', async () => {
-        const own = await playAll(load)
-        const firstCome = await playAll(load, FIRST_COME)
-        const refusing = await playAll(load, DEFAULT_POLICY, true)
-        assert.ok(own.worth > firstCome.worth && own.worth > refusing.worth, describeFigures(own, firstCome, refusing))
+      it('scores higher than first come first served and than rejecting requests without a free slot', async () => {
+        const queued = await simulateAllSeeds(load)
+        const firstCome = await simulateAllSeeds(load, FIRST_COME_POLICY)
+        const rejecting = await simulateAllSeeds(load, DEFAULT_POLICY, true)
+        assert.ok(queued.score > firstCome.score && queued.score > rejecting.score, describeScores(queued, firstCome, rejecting))
       })
 
-      it('keeps few waiting in vain', async () => {
-        const { outcomes } = await playAll(load)
-        for (const outcome of outcomes) assert.ok(outcome.waitedInVain <= outcome.asked * MAX_VAIN_SHARE, JSON.stringify(outcome))
+      it('limits waits of requests that are not served', async () => {
+        const { outcomes } = await simulateAllSeeds(load)
+        for (const outcome of outcomes) assert.ok(outcome.waitedInVain <= outcome.asked * MAX_WASTED_WAIT_SHARE, JSON.stringify(outcome))
       })
     })
   }
 
-  it('is worth more than refusing whoever finds no place also in a burst that is over at once', async () => {
-    const own = await playAll(SHORT)
-    const firstCome = await playAll(SHORT, FIRST_COME)
-    const refusing = await playAll(SHORT, DEFAULT_POLICY, true)
-    assert.ok(own.worth > refusing.worth && own.worth > firstCome.worth - SHORT_BURST_LOSS, describeFigures(own, firstCome, refusing))
+  it('scores higher than rejecting requests without a free slot in a very short burst', async () => {
+    const queued = await simulateAllSeeds(SHORT_BURST)
+    const firstCome = await simulateAllSeeds(SHORT_BURST, FIRST_COME_POLICY)
+    const rejecting = await simulateAllSeeds(SHORT_BURST, DEFAULT_POLICY, true)
+    assert.ok(queued.score > rejecting.score && queued.score > firstCome.score - MAX_SHORT_BURST_LOSS, describeScores(queued, firstCome, rejecting))
   })
 
-  it('serves everybody in time, and refuses nobody, while there are places', async () => {
-    const outcome = await playLoad({ ...DRAFTS, readRate: () => 24 }, DEFAULT_POLICY, 4)
+  it('serves all requests within their targets while there are free slots', async () => {
+    const outcome = await simulateLoad({ ...BASE_LOAD, requestsPerSecond: () => 24 }, DEFAULT_POLICY, 4)
     assert.equal(outcome.refused, 0)
     assert.equal(outcome.late, 0)
   })
--- a/gateway/routed/test/runRequest.test.ts
+++ b/gateway/routed/test/runRequest.test.ts
@@ -9,27 +9,27 @@
 import { WindowBudget } from '@pulleystack/routing.retries'
 import { SilentDecisionLog } from '@pulleystack/timeline.decisions'
 import { runRequest, type RunOptions } from '../src/runRequest.js'
-import type { BackendPlace } from '../src/BackendSlot.js'
+import type { BackendSlot } from '../src/BackendSlot.js'
 import type { ClientAnswer } from '../src/ClientAnswer.js'
 import type { RoutedWork } from '../src/RoutedWork.js'
 
 const WINDOW_MS = 10_000
-const EXTRA = 5
-/** A further attempt that was allowed waits so long for its place; then its window lasts for some while yet. */
-const WAIT_MS = 9_000
-const LATER_MS = 3_000
+const EXTRA_RETRIES = 5
+/** Wait for the slot of the second attempt; nearly a whole budget window. */
+const SLOT_WAIT_MS = 9_000
+const AFTER_SEND_MS = 3_000
 
-/** A server that refuses the first request and serves the others. */
+/** Creates a server that rejects the first request and serves the others. */
 function createServer (): http.Server {
   let count = 0
   return http.createServer((request, response) => {
-    const isRefused = count++ === 0
+    const isRejected = count++ === 0
     request.resume()
-    response.writeHead(isRefused ? 503 : 200, isRefused ? { unused: '1' } : {}).end('body')
+    response.writeHead(isRejected ? 503 : 200, isRejected ? { unused: '1' } : {}).end('body')
   })
 }
 
-describe('a further attempt that was allowed', () => {
+describe('runRequest, for a retry', () => {
   const work = {
     requestId: 'q',
     route: { name: 'r', repeat: RepeatModes.REPEATABLE, maxAttempts: 2, targetLatencyMs: 60_000, streams: false },
@@ -42,14 +42,14 @@
     stream: { events: 0 },
     signal: new AbortController().signal,
   } as unknown as RoutedWork
-  const client = { hasBegun: false, sendWhole: () => undefined } as unknown as ClientAnswer
+  const client = { hasBegun: false, sendBuffered: () => undefined } as unknown as ClientAnswer
   let clock: ManualClock
   let server: http.Server
   let agent: BackendAgent
   let budget: WindowBudget
   let opts: RunOptions
-  let hasAskedAgain: Promise<void>
-  let giveSecondPlace: () => void
+  let secondAcquire: Promise<void>
+  let grantSecondSlot: () => void
 
   beforeEach(async () => {
     clock = new ManualClock()
@@ -57,21 +57,21 @@
     await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve))
     const address = `127.0.0.1:${(server.address() as AddressInfo).port}`
     const backend = new Backend({ id: 'b', service: 's', address, dataHall: 'z', slots: 1, draining: false, models: undefined, inMemory: [], onDisk: [] })
-    const noted = { noteSent: () => undefined, noteAnswered: () => undefined, notePrefilled: () => undefined }
-    const place = { ...noted, backend, choice: { keptTokens: 0 }, end: () => undefined } as unknown as BackendPlace
+    const slotMethods = { noteSent: () => undefined, noteAnswered: () => undefined, notePrefilled: () => undefined }
+    const slot = { ...slotMethods, backend, choice: { keptTokens: 0 }, release: () => undefined } as unknown as BackendSlot
     let acquired = 0
-    let noteAsked = (): void => undefined
-    hasAskedAgain = new Promise((resolve) => {
-      noteAsked = resolve
+    let resolveSecondAcquire = (): void => undefined
+    secondAcquire = new Promise((resolve) => {
+      resolveSecondAcquire = resolve
     })
-    const acquire = (): Promise<BackendPlace> => {
-      if (acquired++ === 0) return Promise.resolve(place)
-      noteAsked()
+    const acquire = (): Promise<BackendSlot> => {
+      if (acquired++ === 0) return Promise.resolve(slot)
+      resolveSecondAcquire()
       return new Promise((resolve) => {
-        giveSecondPlace = () => resolve(place)
+        grantSecondSlot = () => resolve(slot)
       })
     }
-    budget = new WindowBudget({ clock, ratio: 0.2, extra: EXTRA, windowMs: WINDOW_MS, countInstances: () => 1 })
+    budget = new WindowBudget({ clock, ratio: 0.2, extra: EXTRA_RETRIES, windowMs: WINDOW_MS, countInstances: () => 1 })
     agent = new BackendAgent(clock)
     opts = {
       clock,
@@ -80,8 +80,8 @@
         buildForwardHeaders: () => ['Host', 'h'],
         readAnswer: (_: number, headers: http.IncomingHttpHeaders) => ({ requestId: 'q', signed: true, notRun: headers.unused !== undefined }),
       },
-      suspects: { hasChanged: () => false, admit: () => Promise.resolve({ isOnly: false, release: () => undefined }), noteServed: () => undefined },
-      queue: { acquire, hasPlaceBeside: () => true },
+      suspects: { hasBecomeSuspect: () => false, admit: () => Promise.resolve({ isOnly: false, release: () => undefined }), noteServed: () => undefined },
+      queue: { acquire, hasSlotElsewhere: () => true },
       fleet: { noteOutcome: () => undefined },
       statements: { takeAnswer: () => undefined },
       log: new SilentDecisionLog(),
@@ -95,15 +95,14 @@
     await new Promise((resolve) => server.close(resolve))
   })
 
-  // It may wait for its place for seconds. Counted when it was allowed, it was forgotten soon after it had been sent, and a service got those of two
-  // windows within one.
-  it('counts in the window in which it is sent, not in the one in which it was allowed', async () => {
+  // Otherwise retries that wait for slots would let a service get the retries of two windows within one.
+  it('counts it in the budget window in which it is sent, not in the one in which it was permitted', async () => {
     const done = runRequest(opts, work, client)
-    await hasAskedAgain
-    await clock.advance(WAIT_MS)
-    giveSecondPlace()
+    await secondAcquire
+    await clock.advance(SLOT_WAIT_MS)
+    grantSecondSlot()
     await done
-    await clock.advance(LATER_MS)
-    assert.equal(budget.left, EXTRA - 1)
+    await clock.advance(AFTER_SEND_MS)
+    assert.equal(budget.left, EXTRA_RETRIES - 1)
   })
 })
