--- /dev/null
+++ b/gateway/routed/src/BackendSlot.ts
@@ -0,0 +1,99 @@
+import type { Clock } from '@pulleystack/core.clock'
+import type { Backend, BackendChoice, CreditUse } from '@pulleystack/routing.fleet'
+import type { ServedTimes } from './SlotForecast.js'
+import type { RoutedWork } from './RoutedWork.js'
+
+/** State changes of a slot. */
+export const SlotChanges = {
+  ACQUIRED: 'acquired',
+  /** A server that ramps up after a pause may accept more requests. */
+  RAMPING: 'ramping',
+  /** The server has processed the prompt. */
+  PREFILLED: 'prefilled',
+  RELEASED: 'released',
+  /** The slot is released without having used its permit for a rate-limited server. */
+  UNSENT: 'unsent',
+} as const
+export type SlotChange = typeof SlotChanges[keyof typeof SlotChanges]
+
+/** A slot for one request at one backend server; must be released. */
+export class BackendSlot {
+  private readonly acquiredAt: number
+  private pendingPrefillTokens: number
+  private isReleased = false
+  private readonly rampUp: CreditUse
+  private prefilledAt: number | undefined
+  private readonly suspectCount: number
+  /** Whether the slot holds a permit that has not been used. */
+  private hasPermit: boolean
+
+  constructor (
+    readonly choice: BackendChoice,
+    private readonly work: RoutedWork,
+    private readonly clock: Clock,
+    private readonly onChange: (change: SlotChange) => void,
+  ) {
+    this.acquiredAt = clock.readTime()
+    this.suspectCount = work.isSuspect ? 1 : 0
+    this.pendingPrefillTokens = Math.max(0, (work.generation?.promptTokens ?? 0) - choice.keptTokens)
+    const { own } = choice.backend
+    own.running++
+    own.prefillTokens += this.pendingPrefillTokens
+    own.cacheTokens += this.cacheTokens
+    own.suspects += this.suspectCount
+    const { backoff, limit, permits } = choice.backend.stated
+    this.rampUp = backoff.take()
+    this.hasPermit = limit.perSecond !== undefined && permits.take(this.acquiredAt)
+    onChange(SlotChanges.ACQUIRED)
+  }
+
+  get backend (): Backend {
+    return this.choice.backend
+  }
+
+  /** Marks the permit as used: the request may reach the server from now on. */
+  noteSent (): void {
+    this.hasPermit = false
+  }
+
+  /** Records that the server accepted the request, which raises the ramp-up allowance after a pause. */
+  noteAnswered (): void {
+    if (this.rampUp.noteAnswered()) this.onChange(SlotChanges.RAMPING)
+  }
+
+  /** Records that the server has processed the prompt. */
+  notePrefilled (): void {
+    this.prefilledAt ??= this.clock.readTime()
+    this.releasePrefill()
+  }
+
+  /** Undefined until the prompt has been processed. */
+  readTimes (): ServedTimes | undefined {
+    if (this.prefilledAt === undefined) return undefined
+    return { heldMs: this.clock.readTime() - this.acquiredAt, firstOutputMs: this.prefilledAt - this.acquiredAt }
+  }
+
+  private releasePrefill (): void {
+    if (this.pendingPrefillTokens === 0) return
+    this.backend.own.prefillTokens -= this.pendingPrefillTokens
+    this.pendingPrefillTokens = 0
+    this.onChange(SlotChanges.PREFILLED)
+  }
+
+  release (): void {
+    if (this.isReleased) return
+    this.isReleased = true
+    this.releasePrefill()
+    this.backend.own.running--
+    this.backend.own.cacheTokens -= this.cacheTokens
+    this.backend.own.suspects -= this.suspectCount
+    this.rampUp.end()
+    if (this.hasPermit) this.onChange(SlotChanges.UNSENT)
+    this.onChange(SlotChanges.RELEASED)
+  }
+
+  private get cacheTokens (): number {
+    const { generation } = this.work
+    return generation ? generation.promptTokens + generation.outputTokens : 0
+  }
+}
