--- a/placement/demand/src/DemandEstimator.ts
+++ b/placement/demand/src/DemandEstimator.ts
@@ -1,40 +1,40 @@
 interface Estimate {
   rate: number
-  at: number
+  updatedAt: number
 }
 
-const RISE_MS = 3_000
-const FALL_MS = 180_000
-const FORGET_BELOW = 1e-3
+const RISE_TIME_CONSTANT_MS = 3_000
+const FALL_TIME_CONSTANT_MS = 180_000
+const MIN_TRACKED_RATE = 1e-3
 
 /**
- * Demand by item from many instances' readings. It follows a rise within seconds and a fall within minutes, so that a
- * pause in a burst doesn't cost copies that the next minute needs again.
+ * Estimates the demand for each item from the rates reported by many instances. A rise is followed within seconds and a fall within minutes, so
+ * that copies aren't dropped during a short pause in traffic.
  */
 export class DemandEstimator {
-  private readonly readings = new Map<string, { at: number, rates: Record<string, number> }>()
+  private readonly readings = new Map<string, { receivedAt: number, rates: Record<string, number> }>()
   private readonly estimates = new Map<string, Estimate>()
 
-  /** Takes one instance's newest reading, in tokens a second. */
+  /** Records the latest rates of one instance, in tokens per second. */
   takeReading (instance: string, rates: Record<string, number>, now: number): void {
-    this.readings.set(instance, { at: now, rates })
+    this.readings.set(instance, { receivedAt: now, rates })
   }
 
-  /** Moves the estimates on; readings older than `maxAgeMs` no longer count. */
+  /** Updates the estimates; ignores readings older than `maxAgeMs`. */
   update (now: number, maxAgeMs: number): void {
     const sums = this.sumReadings(now - maxAgeMs)
     for (const item of new Set([...this.estimates.keys(), ...sums.keys()])) this.updateItem(item, sums.get(item) ?? 0, now)
   }
 
-  /** Tokens a second that the item should be prepared for. */
+  /** Estimated demand for the item, in tokens per second. */
   read (item: string): number {
     return this.estimates.get(item)?.rate ?? 0
   }
 
-  private sumReadings (oldest: number): Map<string, number> {
+  private sumReadings (notBefore: number): Map<string, number> {
     const sums = new Map<string, number>()
     for (const [instance, reading] of this.readings) {
-      if (reading.at < oldest) {
+      if (reading.receivedAt < notBefore) {
         this.readings.delete(instance)
         continue
       }
@@ -43,12 +43,12 @@
     return sums
   }
 
-  private updateItem (item: string, rate: number, now: number): void {
-    const held = this.estimates.get(item) ?? { rate: 0, at: now - RISE_MS }
-    const timeMs = rate > held.rate ? RISE_MS : FALL_MS
-    const share = 1 - Math.exp(-(now - held.at) / timeMs)
-    const next = held.rate + (rate - held.rate) * share
-    if (next < FORGET_BELOW && rate === 0) this.estimates.delete(item)
-    else this.estimates.set(item, { rate: next, at: now })
+  private updateItem (item: string, observedRate: number, now: number): void {
+    const estimate = this.estimates.get(item) ?? { rate: 0, updatedAt: now - RISE_TIME_CONSTANT_MS }
+    const timeConstantMs = observedRate > estimate.rate ? RISE_TIME_CONSTANT_MS : FALL_TIME_CONSTANT_MS
+    const weight = 1 - Math.exp(-(now - estimate.updatedAt) / timeConstantMs)
+    const smoothedRate = estimate.rate + (observedRate - estimate.rate) * weight
+    if (smoothedRate < MIN_TRACKED_RATE && observedRate === 0) this.estimates.delete(item)
+    else this.estimates.set(item, { rate: smoothedRate, updatedAt: now })
   }
 }
--- a/placement/demand/src/DemandMeter.ts
+++ b/placement/demand/src/DemandMeter.ts
@@ -1,23 +1,23 @@
-/** Counts what one instance was asked for, by item, between two readings. */
+/** Measures the token rate that one instance is asked for, by item. */
 export class DemandMeter {
-  private counts = new Map<string, number>()
-  private since: number
+  private tokensByItem = new Map<string, number>()
+  private startedAt: number
 
   constructor (now: number) {
-    this.since = now
+    this.startedAt = now
   }
 
-  /** Adds tokens that a request asks for. */
+  /** Adds the tokens of one request. */
   add (item: string, tokens: number): void {
-    this.counts.set(item, (this.counts.get(item) ?? 0) + tokens)
+    this.tokensByItem.set(item, (this.tokensByItem.get(item) ?? 0) + tokens)
   }
 
-  /** Tokens a second by item since the last reading. */
+  /** Returns the tokens per second by item since the last call, and starts a new interval. */
   take (now: number): Record<string, number> {
-    const seconds = Math.max(0.001, (now - this.since) / 1000)
-    const rates = Object.fromEntries([...this.counts].map(([item, count]) => [item, count / seconds]))
-    this.counts = new Map()
-    this.since = now
+    const seconds = Math.max(0.001, (now - this.startedAt) / 1000)
+    const rates = Object.fromEntries([...this.tokensByItem].map(([item, count]) => [item, count / seconds]))
+    this.tokensByItem = new Map()
+    this.startedAt = now
     return rates
   }
 }
