--- a/placement/residency/src/OwnDemand.ts
+++ b/placement/residency/src/LocalDemand.ts
@@ -5,7 +5,7 @@
 import type { AskedWeights } from './ResidencyClient.js'
 
 /** What requests asked for at this instance since it last told the lease holder. */
-export class OwnDemand {
+export class LocalDemand {
   private readonly counts = new Map<string, DemandCount>()
   private readonly inHand = new Map<string, { asked: AskedWeights, count: number }>()
   /** Monotone time up to which the holder was told. */
--- a/placement/residency/src/ResidencyService.ts
+++ b/placement/residency/src/ResidencyService.ts
@@ -9,7 +9,7 @@
 import type { AskedWeights, NeedAnswer, WeightsNeed } from './ResidencyClient.js'
 import { ResidencyClient } from './ResidencyClient.js'
 import type { OutageGrants } from './OutageGrants.js'
-import { OwnDemand } from './OwnDemand.js'
+import { LocalDemand } from './LocalDemand.js'
 import type { ResidencyHolder } from './ResidencyHolder.js'
 import type { HoldOff } from './ServerLoads.js'
 
@@ -76,7 +76,7 @@
 
 /** Keeps exactly one instance ordering: takes the lease when it is this one's turn, and reaches the holder otherwise. */
 export class ResidencyService extends ResidencyClient {
-  private readonly demand: OwnDemand
+  private readonly demand: LocalDemand
   private heard: { instance: string, at: number } | undefined
   private wasHeld = false
   private stopping = false
@@ -89,7 +89,7 @@
 
   constructor (private readonly opts: ResidencyServiceOptions) {
     super()
-    this.demand = new OwnDemand(opts.clock)
+    this.demand = new LocalDemand(opts.clock)
   }
 
   /** Starts listening, renewing and planning; goes on until the signal ends. */
--- a/placement/residency/test/AdapterKeeper.test.ts
+++ b/placement/residency/test/loadAdapter.test.ts
@@ -6,7 +6,7 @@
 import { ManualClock } from '@pulleystack/core.clock'
 import type { PulleystackError } from '@pulleystack/core.errors'
 import { SilentDecisionLog } from '@pulleystack/timeline.decisions'
-import { loadAdapter } from '../src/AdapterKeeper.js'
+import { loadAdapter } from '../src/loadAdapter.js'
 import { ServerOrders } from '../src/index.js'
 
 const SERVING: ModelServing = {
