--- a/placement/residency/src/Allocation.ts
+++ b/placement/residency/src/Allocation.ts
@@ -1,39 +1,39 @@
 import type { ModelDemand } from './DemandTracker.js'
 
-/** Share of a batch up to which requests find a place at once; above it arrivals that come in clumps meet a full server. */
-const FULL_SHARE = 0.6
-/**
- * Requests that an evenly loaded system is thought to lose at a full batch for reasons other than places (longer reads beside others, a
- * crash that takes many at once), as a share. It spreads load over servers that all have room.
- */
-const CROWDING_SHARE = 0.05
+/** Share of a batch that can be planned for; beyond it, bursts find no free slot. */
+const USABLE_BATCH_SHARE = 0.6
+/** Share of requests assumed lost at a full batch despite free slots, as in a crash; it spreads load over servers that all have room. */
+const CROWDING_LOSS_SHARE = 0.05
 
-/** A server as its share of the requests depends on it. */
+/** What the allocation needs to know of a server. */
 export interface AllocatedServer {
   id: string
   models: readonly string[]
   loading?: string
-  /** Requests a second that it takes; undefined when it names no limit. */
+  /** Limit in requests per second; undefined when the server advertises none. */
   limitPerSecond?: number | undefined
 }
 
-/** What one server is asked for, on the assumption that each model's requests go evenly to its copies, but for what a limit leaves to the others. */
-interface ServerShare {
+/** Expected load of one server, with each model's requests split as in `splitRequests`. */
+interface ServerLoad {
   requestsPerSecond: number
-  /** Places that they hold at a time. */
-  places: number
+  /** Slots occupied at a time. */
+  slots: number
 }
 
-/** The part of a model's requests that goes to one of its servers. */
-type PartOf = (server: string) => number
+/** Share of a model's requests that is routed to a server. */
+type ShareOf = (server: string) => number
 
-/** Which server holds which models, and how many requests a second that costs. Asking for a change costs as much as the copies it touches. */
+/**
+ * Which server holds which models, and how many requests per second are lost as a result. Evaluating a change takes time proportional to the
+ * number of copies of the model.
+ */
 export class Allocation {
-  private readonly holders = new Map<string, Set<string>>()
-  private readonly shares = new Map<string, ServerShare>()
-  /** The model that each server is loading, which it counts as holding though nobody is served by it yet. */
-  private readonly loading: ReadonlyMap<string, string | undefined>
-  /** Requests a second that servers take which name a limit. */
+  private readonly serversByModel = new Map<string, Set<string>>()
+  private readonly loads = new Map<string, ServerLoad>()
+  /** The model that each server is loading; it counts as held although it serves no requests yet. */
+  private readonly loadingModels: ReadonlyMap<string, string | undefined>
+  /** Limits in requests per second, by server that advertises one. */
   private readonly limits = new Map<string, number>()
 
   constructor (
@@ -42,140 +42,140 @@
     servers: readonly AllocatedServer[],
   ) {
     for (const { id, limitPerSecond } of servers) {
-      this.shares.set(id, { requestsPerSecond: 0, places: 0 })
+      this.loads.set(id, { requestsPerSecond: 0, slots: 0 })
       if (limitPerSecond !== undefined) this.limits.set(id, limitPerSecond)
     }
     for (const { id, models } of servers) {
-      for (const model of models) this.findHolders(model).add(id)
+      for (const model of models) this.findServers(model).add(id)
     }
-    this.loading = new Map(servers.map(({ id, loading }) => [id, loading]))
-    for (const [model, holders] of this.holders) this.addShares(model, [...holders], 1)
+    this.loadingModels = new Map(servers.map(({ id, loading }) => [id, loading]))
+    for (const [model, holdingServers] of this.serversByModel) this.addLoad(model, [...holdingServers], 1)
   }
 
   countCopies (model: string): number {
-    return this.holders.get(model)?.size ?? 0
+    return this.serversByModel.get(model)?.size ?? 0
   }
 
-  /** Requests a second that are lost at the servers of a model for want of places, or because no server has it. */
-  computeNeed (model: string): number {
+  /** Requests per second for a model that are lost for lack of slots or because no server has the model. */
+  computeShortfall (model: string): number {
     const { requestsPerSecond } = this.readDemand(model)
-    const holders = this.holders.get(model)
-    if (!holders || holders.size === 0) return requestsPerSecond
-    const partOf = this.deal(model, [...holders])
-    const lost = [...holders].reduce((sum, id) => sum + partOf(id) * this.rateLost(id, this.readShare(id)), 0)
-    return requestsPerSecond * lost
+    const servers = this.serversByModel.get(model)
+    if (!servers || servers.size === 0) return requestsPerSecond
+    const shareOf = this.splitRequests(model, [...servers])
+    const lostShare = [...servers].reduce((sum, id) => sum + shareOf(id) * this.computeLostShare(id, this.readLoad(id)), 0)
+    return requestsPerSecond * lostShare
   }
 
-  /** Requests a second that are saved by a further copy of a model at a server. */
+  /** Requests per second saved by adding a copy of a model on a server. */
   computeGain (model: string, server: string): number {
-    const holders = [...this.findHolders(model)]
-    const unserved = holders.length === 0 ? this.readDemand(model).requestsPerSecond : 0
-    return unserved + this.compareCosts(model, holders, [...holders, server])
+    const servers = [...this.findServers(model)]
+    const unserved = servers.length === 0 ? this.readDemand(model).requestsPerSecond : 0
+    return unserved + this.computeSavings(model, servers, [...servers, server])
   }
 
-  /** Requests a second that are lost when a server drops a model. */
+  /** Requests per second lost by unloading a model from a server. */
   computeLoss (model: string, server: string): number {
-    const holders = [...this.findHolders(model)]
-    const left = holders.filter((id) => id !== server)
-    // A copy that is on its way serves nobody for seconds.
-    const isLast = left.every((id) => this.loading.get(id) === model)
+    const servers = [...this.findServers(model)]
+    const remaining = servers.filter((id) => id !== server)
+    // A copy that is still loading serves no requests.
+    const isLast = remaining.every((id) => this.loadingModels.get(id) === model)
     const unserved = isLast ? this.readDemand(model).requestsPerSecond : 0
-    return unserved - this.compareCosts(model, holders, left)
+    return unserved - this.computeSavings(model, servers, remaining)
   }
 
-  /** Places that the requests for a model likely hold at one of its servers. */
-  computePlaces (model: string): number {
-    return this.readDemand(model).places / Math.max(1, this.countCopies(model))
+  /** Expected slots occupied by a model's requests on one of its servers. */
+  computeSlotsPerCopy (model: string): number {
+    return this.readDemand(model).slots / Math.max(1, this.countCopies(model))
   }
 
   add (model: string, server: string): void {
-    const holders = this.findHolders(model)
-    this.addShares(model, [...holders], -1)
-    holders.add(server)
-    this.addShares(model, [...holders], 1)
+    const servers = this.findServers(model)
+    this.addLoad(model, [...servers], -1)
+    servers.add(server)
+    this.addLoad(model, [...servers], 1)
   }
 
   remove (model: string, server: string): void {
-    const holders = this.findHolders(model)
-    this.addShares(model, [...holders], -1)
-    holders.delete(server)
-    this.addShares(model, [...holders], 1)
+    const servers = this.findServers(model)
+    this.addLoad(model, [...servers], -1)
+    servers.delete(server)
+    this.addLoad(model, [...servers], 1)
   }
 
-  /** What all servers together cost less when a model is at other servers than now. */
-  private compareCosts (model: string, before: readonly string[], after: readonly string[]): number {
-    const touched = new Set([...before, ...after])
+  /** Requests per second saved over all servers by moving a model from one set of servers to another. */
+  private computeSavings (model: string, before: readonly string[], after: readonly string[]): number {
+    const affected = new Set([...before, ...after])
     const { requestsPerSecond } = this.readDemand(model)
-    const places = this.computeAllPlaces(model)
-    const partBefore = this.deal(model, before)
-    const partAfter = this.deal(model, after)
+    const slots = this.computeTotalSlots(model)
+    const shareBefore = this.splitRequests(model, before)
+    const shareAfter = this.splitRequests(model, after)
     let saved = 0
-    for (const id of touched) {
-      const share = this.readShare(id)
-      const part = (after.includes(id) ? partAfter(id) : 0) - (before.includes(id) ? partBefore(id) : 0)
-      const changed = { requestsPerSecond: share.requestsPerSecond + requestsPerSecond * part, places: share.places + places * part }
-      saved += this.computeCost(id, share) - this.computeCost(id, changed)
+    for (const id of affected) {
+      const load = this.readLoad(id)
+      const shareChange = (after.includes(id) ? shareAfter(id) : 0) - (before.includes(id) ? shareBefore(id) : 0)
+      const changedLoad = { requestsPerSecond: load.requestsPerSecond + requestsPerSecond * shareChange, slots: load.slots + slots * shareChange }
+      saved += this.computeLostRequests(id, load) - this.computeLostRequests(id, changedLoad)
     }
     return saved
   }
 
-  /** Adds a model's requests to what its servers are asked for, or takes them away (`sign` -1). */
-  private addShares (model: string, servers: readonly string[], sign: 1 | -1): void {
+  /** Adds a model's requests to the load of its servers, or subtracts them when `sign` is -1. */
+  private addLoad (model: string, servers: readonly string[], sign: 1 | -1): void {
     const { requestsPerSecond } = this.readDemand(model)
-    const places = this.computeAllPlaces(model)
-    const partOf = this.deal(model, servers)
+    const slots = this.computeTotalSlots(model)
+    const shareOf = this.splitRequests(model, servers)
     for (const id of servers) {
-      const share = this.readShare(id)
-      const part = sign * partOf(id)
-      this.shares.set(id, { requestsPerSecond: share.requestsPerSecond + requestsPerSecond * part, places: share.places + places * part })
+      const load = this.readLoad(id)
+      const share = sign * shareOf(id)
+      this.loads.set(id, { requestsPerSecond: load.requestsPerSecond + requestsPerSecond * share, slots: load.slots + slots * share })
     }
   }
 
-  /** How a model's requests are dealt to its servers: evenly, but one that names a limit gets no more than that while another one is there for the rest. */
-  private deal (model: string, servers: readonly string[]): PartOf {
-    const even = 1 / Math.max(1, servers.length)
+  /** Splits a model's requests evenly; a server with a limit gets no more than its limit while a server without one can take the rest. */
+  private splitRequests (model: string, servers: readonly string[]): ShareOf {
+    const evenShare = 1 / Math.max(1, servers.length)
     const limited = this.limits.size === 0 ? [] : servers.filter((id) => this.limits.has(id))
-    if (limited.length === 0 || limited.length === servers.length) return () => even
+    if (limited.length === 0 || limited.length === servers.length) return () => evenShare
     const { requestsPerSecond } = this.readDemand(model)
-    const parts = new Map(limited.map((id) => [id, Math.min(even, this.readLimit(id) / Math.max(requestsPerSecond, Number.MIN_VALUE))]))
-    const dealt = [...parts.values()].reduce((sum, part) => sum + part, 0)
-    const rest = (1 - dealt) / (servers.length - limited.length)
-    return (id) => parts.get(id) ?? rest
+    const limitedShares = new Map(limited.map((id) => [id, Math.min(evenShare, this.readLimit(id) / Math.max(requestsPerSecond, Number.MIN_VALUE))]))
+    const limitedTotal = [...limitedShares.values()].reduce((sum, share) => sum + share, 0)
+    const otherShare = (1 - limitedTotal) / (servers.length - limited.length)
+    return (id) => limitedShares.get(id) ?? otherShare
   }
 
-  /** Share of a server's requests that find no place, or are beyond its limit, and a little for crowding. */
-  private rateLost (id: string, { requestsPerSecond, places }: ServerShare): number {
-    const full = this.batchSlots * FULL_SHARE
-    const lost = places > full ? 1 - full / places : 0
+  /** Share of a server's requests that find no slot or exceed its limit, plus a small penalty for a busy batch. */
+  private computeLostShare (id: string, { requestsPerSecond, slots }: ServerLoad): number {
+    const usableSlots = this.batchSlots * USABLE_BATCH_SHARE
+    const withoutSlot = slots > usableSlots ? 1 - usableSlots / slots : 0
     const limit = this.readLimit(id)
-    const beyond = requestsPerSecond > limit ? 1 - limit / requestsPerSecond : 0
-    return Math.max(lost, beyond) + CROWDING_SHARE * Math.min(1, places / this.batchSlots) ** 2
+    const overLimit = requestsPerSecond > limit ? 1 - limit / requestsPerSecond : 0
+    return Math.max(withoutSlot, overLimit) + CROWDING_LOSS_SHARE * Math.min(1, slots / this.batchSlots) ** 2
   }
 
-  /** Requests a second that a server loses. */
-  private computeCost (id: string, share: ServerShare): number {
-    return Math.max(0, share.requestsPerSecond) * this.rateLost(id, share)
+  /** Requests per second lost at a server. */
+  private computeLostRequests (id: string, load: ServerLoad): number {
+    return Math.max(0, load.requestsPerSecond) * this.computeLostShare(id, load)
   }
 
   private readLimit (server: string): number {
     return this.limits.get(server) ?? Infinity
   }
 
-  /** Places that the requests hold, or those that a server full of streams would have in the time that it spends reading their prompts. */
-  private computeAllPlaces (model: string): number {
-    const { places, readingMs } = this.readDemand(model)
-    return Math.max(places, readingMs / 1000 * this.batchSlots)
+  /** Slots needed for a model's requests over all servers: the slots they occupy or, if more, the batch capacity that their prefill takes up. */
+  private computeTotalSlots (model: string): number {
+    const { slots, prefillMsPerSecond } = this.readDemand(model)
+    return Math.max(slots, prefillMsPerSecond / 1000 * this.batchSlots)
   }
 
-  private readShare (server: string): ServerShare {
-    return this.shares.get(server) ?? { requestsPerSecond: 0, places: 0 }
+  private readLoad (server: string): ServerLoad {
+    return this.loads.get(server) ?? { requestsPerSecond: 0, slots: 0 }
   }
 
-  private findHolders (model: string): Set<string> {
-    const present = this.holders.get(model)
+  private findServers (model: string): Set<string> {
+    const present = this.serversByModel.get(model)
     if (present) return present
     const created = new Set<string>()
-    this.holders.set(model, created)
+    this.serversByModel.set(model, created)
     return created
   }
 }
--- a/placement/residency/src/LoadBucket.ts
+++ b/placement/residency/src/LoadBucket.ts
@@ -1,41 +1,41 @@
 import type { Clock } from '@pulleystack/core.clock'
 
-/** Loads that may begin at once after a rest; the platform's ceiling allows three beyond its rate in any window. */
-const CAPACITY = 3
+/** Loads that may start at once; the weight store allows three beyond its rate in any window. */
+const BURST_LOADS = 3
 
-/** Lets loads from the weight store begin at a steady rate with small bursts; empty at first, since another may have just loaded. */
+/** Token bucket for loads from the weight store. It starts empty, because an earlier lease holder may have used up the limit. */
 export class LoadBucket {
-  private level = 0
+  private tokens = 0
   private updatedAt: number
 
-  constructor (private readonly clock: Clock, private readonly readRate: () => number) {
+  constructor (private readonly clock: Clock, private readonly readLoadsPerSecond: () => number) {
     this.updatedAt = clock.readTime()
   }
 
-  /** Takes the right to one load; false when none may begin now. */
+  /** Takes the permit for one load; false when no load may start now. */
   take (): boolean {
     this.refill()
-    if (this.level < 1) return false
-    this.level--
+    if (this.tokens < 1) return false
+    this.tokens--
     return true
   }
 
-  /** Milliseconds until a load may begin. */
+  /** Milliseconds until a load may start. */
   get waitMs (): number {
     this.refill()
-    const rate = this.readRate()
-    return this.level >= 1 ? 0 : rate > 0 ? (1 - this.level) / rate * 1000 : Infinity
+    const rate = this.readLoadsPerSecond()
+    return this.tokens >= 1 ? 0 : rate > 0 ? (1 - this.tokens) / rate * 1000 : Infinity
   }
 
-  /** Empties it, as after a change of holder. */
+  /** Empties the bucket, as needed after a change of lease holder. */
   drain (): void {
-    this.level = 0
+    this.tokens = 0
     this.updatedAt = this.clock.readTime()
   }
 
   private refill (): void {
     const now = this.clock.readTime()
-    this.level = Math.min(CAPACITY, this.level + (now - this.updatedAt) / 1000 * this.readRate())
+    this.tokens = Math.min(BURST_LOADS, this.tokens + (now - this.updatedAt) / 1000 * this.readLoadsPerSecond())
     this.updatedAt = now
   }
 }
--- a/placement/residency/src/LocalDemand.ts
+++ b/placement/residency/src/LocalDemand.ts
@@ -2,64 +2,64 @@
 import { nameWeights } from '@pulleystack/routing.fleet'
 import type { DemandReport } from './channels.js'
 import type { DemandCount } from './DemandTracker.js'
-import type { AskedWeights } from './ResidencyClient.js'
+import type { RequestedWeights } from './ResidencyClient.js'
 
-/** What requests asked for at this instance since it last told the lease holder. */
+/** Demand at this instance since its last report to the lease holder. */
 export class LocalDemand {
   private readonly counts = new Map<string, DemandCount>()
-  private readonly inHand = new Map<string, { asked: AskedWeights, count: number }>()
-  /** Monotone time up to which the holder was told. */
-  private toldAt: number
+  private readonly inFlight = new Map<string, { weights: RequestedWeights, count: number }>()
+  /** Monotone time up to which the lease holder has a report. */
+  private reportedAt: number
 
   constructor (private readonly clock: Clock) {
-    this.toldAt = clock.readTime()
+    this.reportedAt = clock.readTime()
   }
 
-  /** Counts one new request. */
-  noteDemand (asked: AskedWeights): void {
-    this.findCount(asked).requests++
+  /** Counts a new request. */
+  recordRequest (weights: RequestedWeights): void {
+    this.findCount(weights).requests++
   }
 
-  /** Counts a request that has a place at a server or waits for one, until the function that it gives is called. */
-  noteInHand (asked: AskedWeights): () => void {
-    const key = nameAsked(asked)
-    const held = this.inHand.get(key) ?? { asked, count: 0 }
-    this.inHand.set(key, held)
-    held.count++
+  /** Counts a request that occupies a slot or waits for one, until the returned function is called. */
+  recordInFlight (weights: RequestedWeights): () => void {
+    const key = buildKey(weights)
+    const entry = this.inFlight.get(key) ?? { weights, count: 0 }
+    this.inFlight.set(key, entry)
+    entry.count++
     return () => {
-      held.count--
-      if (held.count === 0) this.inHand.delete(key)
+      entry.count--
+      if (entry.count === 0) this.inFlight.delete(key)
     }
   }
 
-  /** Counts a request that left its place at a server. */
-  noteEnded (asked: AskedWeights, took: { heldMs: number, readTokens: number }): void {
-    const count = this.findCount(asked)
+  /** Counts a request that released its slot. */
+  recordEnded (weights: RequestedWeights, usage: { heldMs: number, readTokens: number }): void {
+    const count = this.findCount(weights)
     count.ended++
-    count.heldMs += took.heldMs
-    count.readTokens += took.readTokens
+    count.heldMs += usage.heldMs
+    count.readTokens += usage.readTokens
   }
 
-  /** What is to be told now; undefined when nothing was asked for. */
+  /** Builds the next report; undefined when there was no demand. */
   buildReport (): DemandReport | undefined {
-    for (const { asked, count } of this.inHand.values()) this.findCount(asked).inHand = count
+    for (const { weights, count } of this.inFlight.values()) this.findCount(weights).inHand = count
     const now = this.clock.readTime()
     if (this.counts.size === 0) {
-      this.toldAt = now
+      this.reportedAt = now
       return undefined
     }
-    return { counts: [...this.counts.values()], spanMs: now - this.toldAt }
+    return { counts: [...this.counts.values()], spanMs: now - this.reportedAt }
   }
 
-  /** The last report has reached the holder, so that the next one begins behind it. */
+  /** Starts a new reporting interval, after the last report was delivered. */
   clear (): void {
-    this.toldAt = this.clock.readTime()
+    this.reportedAt = this.clock.readTime()
     this.counts.clear()
   }
 
-  private findCount (asked: AskedWeights): DemandCount {
-    const { service, model, adapter } = asked
-    const key = nameAsked(asked)
+  private findCount (weights: RequestedWeights): DemandCount {
+    const { service, model, adapter } = weights
+    const key = buildKey(weights)
     const present = this.counts.get(key)
     if (present) return present
     const created: DemandCount = { service, model, adapter, requests: 0, ended: 0, heldMs: 0, readTokens: 0, inHand: 0 }
@@ -68,6 +68,6 @@
   }
 }
 
-function nameAsked ({ service, model, adapter }: AskedWeights): string {
+function buildKey ({ service, model, adapter }: RequestedWeights): string {
   return `${service}|${nameWeights(model, adapter)}`
 }
--- a/placement/residency/src/OutageGrants.ts
+++ b/placement/residency/src/OutageGrants.ts
@@ -1,102 +1,98 @@
 import type { Clock } from '@pulleystack/core.clock'
 import type { PeerNetwork } from '@pulleystack/membership.peers'
-import { HOLD_ON, type HoldOnAnswer } from './channels.js'
+import { OUTAGE_GRANT, type OutageGrantAnswer } from './channels.js'
 
-/** Milliseconds for which the store must be lost to an instance before it says so; one lost answer is no outage. */
-const LOST_MS = 400
+/** Time without the store before an instance reports an outage; one lost response is not an outage. */
+const MIN_OUTAGE_MS = 400
 
-/** Instances may notice one outage so far apart without contradicting each other, in milliseconds. */
-const AGREEMENT_MS = 300
+/** Tolerated difference between the times at which two instances detect the same outage. */
+const DETECTION_SKEW_MS = 300
 
 export interface OutageGrantsOptions {
   clock: Clock
   network: PeerNetwork
-  /** All other instances that may exist, linked or not. */
+  /** All other instances that may exist, connected or not. */
   listOthers: () => readonly string[]
-  /** Milliseconds since this instance lost the store; 0 while it, or a peer for it, reaches the store. */
+  /** Milliseconds since this instance lost the store; 0 while it reaches the store directly or through a peer. */
   readStoreLostMs: () => number
-  /** Milliseconds since the store was last known to answer. */
+  /** Milliseconds since the store last responded. */
   readStoreAgeMs: () => number
-  /** Least time between orders of two holders to one server. */
+  /** Minimum milliseconds between the orders of two lease holders to one server. */
   turnMs: number
-  /** Off: nobody asks and nobody grants. */
+  /** When false, this instance neither requests nor gives grants. */
   isEnabled: boolean
 }
 
 /**
- * Lets the holder of a lease go on while the store is away for everybody, so that nobody could take the lease from it. Every other instance that
- * may exist has to say, again and again, that it has lost the store too and leaves the lease alone for a while. One that is silent may
- * reach the store, so that without its word the holder stops.
- *
- * A grant counts for a fifth of the turn time from before it was asked for. One who gave it keeps off for the rest of the turn time and the time in
- * which an order arrives; one who forgot it by a restart has to see the lease unchanged for longer than that before it could take it.
+ * Lets the lease holder continue during an outage of the store while every other instance confirms that it has lost the store too. A grant is valid
+ * for a fifth of `turnMs` from its request; the instance that gave it doesn't acquire the lease until `turnMs` after the grant has expired.
  */
 export class OutageGrants {
-  /** Monotone time at which the newest grant of each instance was asked for. */
-  private readonly grantedAt = new Map<string, number>()
+  /** Monotone time at which the latest grant of each instance was requested. */
+  private readonly grantRequestedAt = new Map<string, number>()
   private promisedUntil = -Infinity
   private contradictedAt = -Infinity
 
   constructor (private readonly opts: OutageGrantsOptions) {}
 
-  /** Answers holders that ask. */
+  /** Starts to answer grant requests. */
   start (): void {
-    this.opts.network.handleCalls(HOLD_ON, (_, { lostMs }) => this.answerHolder(lostMs))
+    this.opts.network.handleCalls(OUTAGE_GRANT, (_, { lostMs }) => this.answerHolder(lostMs))
   }
 
-  /** The store does not answer this instance, nor one that tells it of changes. */
+  /** Whether this instance reaches the store neither directly nor through a peer. */
   get isLost (): boolean {
     return this.opts.isEnabled && this.opts.readStoreLostMs() > 0
   }
 
-  /** The store has been lost for long enough to speak of an outage. */
+  /** Whether the store has been lost for long enough to count as an outage. */
   get isOutage (): boolean {
-    return this.opts.isEnabled && this.opts.readStoreLostMs() >= LOST_MS
+    return this.opts.isEnabled && this.opts.readStoreLostMs() >= MIN_OUTAGE_MS
   }
 
-  /** Another instance reaches the store, which only this one has lost. */
+  /** Whether another instance has recently reported that it reaches the store. */
   get isContradicted (): boolean {
-    return this.opts.clock.readTime() - this.contradictedAt < this.validMs
+    return this.opts.clock.readTime() - this.contradictedAt < this.grantMs
   }
 
-  /** This instance has promised a holder to leave the lease alone. */
+  /** Whether a grant given by this instance forbids it to acquire the lease. */
   get isPromised (): boolean {
     return this.opts.clock.readTime() < this.promisedUntil
   }
 
-  /** All others have said lately that they leave the lease to this instance. */
-  get isGranted (): boolean {
-    const since = this.opts.clock.readTime() - this.validMs
-    return this.isOutage && this.opts.listOthers().every((instance) => (this.grantedAt.get(instance) ?? -Infinity) >= since)
+  /** Whether an outage lasts and this instance has a valid grant from every other instance. */
+  get isGrantedByAll (): boolean {
+    const oldestValidAt = this.opts.clock.readTime() - this.grantMs
+    return this.isOutage && this.opts.listOthers().every((instance) => (this.grantRequestedAt.get(instance) ?? -Infinity) >= oldestValidAt)
   }
 
-  /** Asks all others for their word. */
-  ask (): void {
+  /** Requests a grant from every other instance. */
+  requestGrants (): void {
     const { clock, network, listOthers } = this.opts
-    const askedAt = clock.readTime()
+    const requestedAt = clock.readTime()
     const lostMs = this.opts.readStoreLostMs()
     for (const instance of listOthers()) {
-      void network.call(instance, HOLD_ON, { lostMs }, this.validMs).then((answer) => {
+      void network.call(instance, OUTAGE_GRANT, { lostMs }, this.grantMs).then((answer) => {
         if (answer.isErr()) return
-        if (answer.value.granted) this.grantedAt.set(instance, askedAt)
-        else this.grantedAt.delete(instance)
+        if (answer.value.granted) this.grantRequestedAt.set(instance, requestedAt)
+        else this.grantRequestedAt.delete(instance)
         if (answer.value.reachesStore) this.contradictedAt = clock.readTime()
       })
     }
   }
 
-  private answerHolder (lostMs: number): HoldOnAnswer {
-    return { granted: this.tryGrant(), reachesStore: this.opts.readStoreAgeMs() < lostMs - AGREEMENT_MS }
+  private answerHolder (lostMs: number): OutageGrantAnswer {
+    return { granted: this.tryGrant(), reachesStore: this.opts.readStoreAgeMs() < lostMs - DETECTION_SKEW_MS }
   }
 
   private tryGrant (): boolean {
     if (!this.isOutage) return false
-    // The holder's last order lies within the grant, and the first order of this instance a turn after that.
-    this.promisedUntil = this.opts.clock.readTime() + this.validMs + this.opts.turnMs
+    // The holder may send orders until the grant expires; this instance may send its first one `turnMs` after that.
+    this.promisedUntil = this.opts.clock.readTime() + this.grantMs + this.opts.turnMs
     return true
   }
 
-  private get validMs (): number {
+  private get grantMs (): number {
     return this.opts.turnMs / 5
   }
 }
--- a/placement/residency/src/ResidencyClient.ts
+++ b/placement/residency/src/ResidencyClient.ts
@@ -1,35 +1,35 @@
-/** Weights that a request needs and no usable server holds. */
-export interface WeightsNeed {
+/** Asks for weights that no usable server holds, or for more copies of them. */
+export interface WeightsRequest {
   service: string
   model: string
   adapter: string | undefined
-  /** Servers that hold them are full; another one is wanted. */
+  /** The servers that hold the weights are full, and another copy is needed. */
   isMore: boolean
-  /** Milliseconds that the asker would wait. */
+  /** Milliseconds for which the request can wait. */
   waitMs: number
 }
 
-/** Weights that a request asks for. */
-export type AskedWeights = Pick<WeightsNeed, 'service' | 'model' | 'adapter'>
+/** The weights that a request uses. */
+export type RequestedWeights = Pick<WeightsRequest, 'service' | 'model' | 'adapter'>
 
-/** What the one that places models says to a need. */
+/** The lease holder's answer to a `WeightsRequest`. */
 export type NeedAnswer =
-  | { coming: true, /** Milliseconds until a server will likely hold it. */ expectedMs: number }
+  | { coming: true, /** Estimated milliseconds until a server holds the weights. */ expectedMs: number }
   | {
     coming: false
     reason: string
-    /** Milliseconds until it could be there if its load were the next order of some server; undefined when that is not known. */
+    /** Estimated milliseconds if some server loaded the weights next; undefined when not known. */
     earliestMs?: number
   }
 
-/** How the request path reaches the one that places models. */
+/** The request path's access to model placement. */
 export abstract class ResidencyClient {
-  /** Asks for weights; answers at once or soon that they won't come when nobody who could load them is known to be well. */
-  abstract requestWeights (need: WeightsNeed): Promise<NeedAnswer>
-  /** Counts one new request. */
-  abstract noteDemand (asked: AskedWeights): void
-  /** Counts a request that has a place at a server or waits for one, until the function that it gives is called. */
-  abstract noteInHand (asked: AskedWeights): () => void
-  /** Counts a request that left its place at a server, which it held for so many milliseconds and which read so many tokens of its prompt. */
-  abstract noteEnded (asked: AskedWeights, took: { heldMs: number, readTokens: number }): void
+  /** Requests weights. Resolves with `coming: false` when no live lease holder is known or it doesn't answer in time. */
+  abstract requestWeights (request: WeightsRequest): Promise<NeedAnswer>
+  /** Counts a new request. */
+  abstract noteDemand (weights: RequestedWeights): void
+  /** Counts a request that occupies a slot or waits for one, until the returned function is called. */
+  abstract noteInHand (weights: RequestedWeights): () => void
+  /** Counts a request that released its slot, with the milliseconds for which it occupied it and the prompt tokens that the server prefilled. */
+  abstract noteEnded (weights: RequestedWeights, usage: { heldMs: number, readTokens: number }): void
 }
--- a/placement/residency/src/ResidencyHolder.ts
+++ b/placement/residency/src/ResidencyHolder.ts
@@ -6,81 +6,80 @@
 import type { DemandReport, InheritedLoad } from './channels.js'
 import { LoadBucket } from './LoadBucket.js'
 import { estimateEarliestMs, planLoad, type PlanInput, type PlannedLoad } from './planResidency.js'
-import type { NeedAnswer, WeightsNeed } from './ResidencyClient.js'
+import type { NeedAnswer, WeightsRequest } from './ResidencyClient.js'
 import { ServerLoads, type HoldOff, type ServerLoadsOptions } from './ServerLoads.js'
 
-/** What an adapter takes that a server had lately; milliseconds, from the platform's days. */
-const ADAPTER_MS = 220
-/** Loads under way at a time in a small system, where the weight store's rate alone would allow fewer than there are servers. */
-const MIN_PLANNED_AT_ONCE = 8
-/** Share of the processor's time that plans may take; in a system of hundreds of servers they come less often for it. */
-const PLAN_SHARE = 0.05
+const EXPECTED_ADAPTER_LOAD_MS = 220
+/** Applies to small systems, where the weight store's rate alone would allow fewer concurrent loads than there are servers. */
+const MIN_CONCURRENT_LOADS = 8
+/** Share of processor time that planning may take; slow plans are made less often. */
+const MAX_PLANNING_SHARE = 0.05
 
 export interface ResidencyHolderOptions extends ServerLoadsOptions {
   readTable: () => RouteTable | undefined
   policy: Policy
 }
 
-/** Decides and orders what the model servers hold, while this instance holds the lease. */
+/** Plans and orders which models and adapters the servers hold, while this instance holds the lease. */
 export class ResidencyHolder {
-  private readonly demands = new Map<string, DemandTracker>()
-  private readonly buckets = new Map<string, LoadBucket>()
+  private readonly demandByService = new Map<string, DemandTracker>()
+  private readonly bucketByService = new Map<string, LoadBucket>()
   private readonly loads: ServerLoads
-  /** Adapters on their way, and the monotone time at which each will likely be there. */
-  private readonly adapters = new Map<string, number>()
+  /** Monotone time at which each adapter that is being loaded is expected to be ready. */
+  private readonly adapterReadyAt = new Map<string, number>()
 
-  private planAgainAt = -Infinity
+  private nextPlanAt = -Infinity
 
   constructor (private readonly opts: ResidencyHolderOptions) {
     this.loads = new ServerLoads(opts)
   }
 
-  /** Begins to order; what an earlier holder loaded is not known, so that loads begin slowly. */
+  /** Starts to send orders. The load buckets start empty, as the recent loads of an earlier holder are not known. */
   begin (holdOff: HoldOff, inherited: readonly InheritedLoad[] = []): void {
     this.loads.begin(holdOff, inherited)
-    for (const bucket of this.buckets.values()) bucket.drain()
-    this.adapters.clear()
+    for (const bucket of this.bucketByService.values()) bucket.drain()
+    this.adapterReadyAt.clear()
   }
 
-  /** Servers ordered within a while, with the milliseconds since. */
+  /** Servers that got orders within the last `withinMs`, with the milliseconds since the latest one. */
   listOrdered (withinMs: number): [backend: string, agoMs: number][] {
     return this.loads.listOrdered(withinMs)
   }
 
-  /** Loads under way, for a successor. */
+  /** Loads in progress, to be handed over to a successor. */
   listRunning (): InheritedLoad[] {
     return this.loads.listRunning()
   }
 
-  /** Takes what an instance was asked for. */
-  noteDemand (from: string, { counts, spanMs }: DemandReport): void {
-    for (const count of sumByModel(counts)) this.findDemand(count.service).add(count.model, from, count, spanMs)
+  /** Records the demand reported by an instance. */
+  recordDemand (instance: string, { counts, spanMs }: DemandReport): void {
+    for (const count of sumByModel(counts)) this.findDemand(count.service).add(count.model, instance, count, spanMs)
     for (const count of counts) {
-      if (count.adapter !== undefined) this.findDemand(count.service).add(nameWeights(count.model, count.adapter), from, count, spanMs)
+      if (count.adapter !== undefined) this.findDemand(count.service).add(nameWeights(count.model, count.adapter), instance, count, spanMs)
     }
   }
 
-  /** Takes what somebody waits for; says when it will likely be there. */
-  takeNeed (need: WeightsNeed): NeedAnswer {
-    if (!this.opts.readRight()) return { coming: false, reason: 'the lease is not held' }
-    const serving = this.findServing(need.service)
+  /** Answers a request for weights with the expected time until they are loaded. */
+  handleRequest (request: WeightsRequest): NeedAnswer {
+    if (!this.opts.readRight()) return { coming: false, reason: 'this instance does not hold the lease' }
+    const serving = this.findServing(request.service)
     if (!serving) return { coming: false, reason: 'the service has no models' }
-    const holding = this.listHolding(need)
-    if (!need.isMore && holding.length > 0) return { coming: true, expectedMs: this.bringAdapter(serving, holding, need) }
-    this.findDemand(need.service).noteWaiting(need.model)
-    if (this.loads.findExpectedMs(need.model) === undefined) this.planService(need.service, serving)
-    const expectedMs = this.loads.findExpectedMs(need.model)
+    const servers = this.listWithModel(request)
+    if (!request.isMore && servers.length > 0) return { coming: true, expectedMs: this.ensureAdapter(serving, servers, request) }
+    this.findDemand(request.service).recordWaiting(request.model)
+    if (this.loads.findExpectedMs(request.model) === undefined) this.planService(request.service, serving)
+    const expectedMs = this.loads.findExpectedMs(request.model)
     if (expectedMs !== undefined) return { coming: true, expectedMs }
-    return { coming: false, reason: 'other loads gain more now', earliestMs: this.estimateEarliestMs(serving, need) }
+    return { coming: false, reason: 'other loads have priority', earliestMs: this.estimateEarliestMs(serving, request) }
   }
 
-  private estimateEarliestMs (serving: ModelServing, need: WeightsNeed): number {
-    const served = serving.models.find((model) => model.name === need.model)
-    const servers = this.listUsable(need.service).map((backend) => this.loads.describe(backend))
+  private estimateEarliestMs (serving: ModelServing, request: WeightsRequest): number {
+    const served = serving.models.find((model) => model.name === request.model)
+    const servers = this.listUsable(request.service).map((backend) => this.loads.describe(backend))
     return served ? estimateEarliestMs(servers, served) : Infinity
   }
 
-  /** Begins the loads that save the most requests. */
+  /** Starts the loads that save the most requests. */
   plan (): void {
     const table = this.opts.readTable()
     if (!table || !this.opts.readRight()) return
@@ -92,33 +91,33 @@
   private planService (service: string, serving: ModelServing): void {
     const { clock } = this.opts
     const startedAt = clock.readTime()
-    if (startedAt < this.planAgainAt) return
+    if (startedAt < this.nextPlanAt) return
     this.beginLoads(service, serving)
     const now = clock.readTime()
-    this.planAgainAt = now + (now - startedAt) * (1 / PLAN_SHARE - 1)
+    this.nextPlanAt = now + (now - startedAt) * (1 / MAX_PLANNING_SHARE - 1)
   }
 
   private beginLoads (service: string, serving: ModelServing): void {
     const bucket = this.findBucket(service)
-    while (this.loads.size < countAtOnce(serving)) {
-      const load = planLoad(this.buildInput(service, serving), bucket.waitMs === 0)
+    while (this.loads.size < computeMaxConcurrentLoads(serving)) {
+      const load = planLoad(this.buildPlanInput(service, serving), bucket.waitMs === 0)
       if (!load || !this.mayBegin(service, load)) return
-      this.noteLoad(service, load)
+      this.recordPlannedLoad(service, load)
       void this.loads.run(serving, load)
     }
   }
 
-  private noteLoad (service: string, load: PlannedLoad): void {
+  private recordPlannedLoad (service: string, load: PlannedLoad): void {
     const { model, victims, fromStore } = load
-    const { requestsPerSecond, places } = this.findDemand(service).read(model)
-    const copies = this.listUsable(service).filter((backend) => this.loads.isKeeping(backend, model)).length
+    const { requestsPerSecond, slots } = this.findDemand(service).read(model)
+    const copies = this.listUsable(service).filter((backend) => this.loads.isRetaining(backend, model)).length
     this.opts.log.record(DecisionKinds.LOAD_PLANNED, {
       backend: load.server,
       model,
       victims,
       fromStore,
-      requestsPerSecond: roundFigure(requestsPerSecond),
-      places: roundFigure(places),
+      requestsPerSecond: roundToHundredths(requestsPerSecond),
+      places: roundToHundredths(slots),
       copies,
     })
   }
@@ -127,23 +126,23 @@
     return !load.fromStore || this.findBucket(service).take()
   }
 
-  /** Brings an adapter to one of the servers that have its model; gives the milliseconds until it will likely be there. */
-  private bringAdapter (serving: ModelServing, holding: readonly Backend[], need: WeightsNeed): number {
-    const { model, adapter } = need
+  /** Loads an adapter on one of the servers that have its model, unless it is being loaded already; returns the expected milliseconds until it is ready. */
+  private ensureAdapter (serving: ModelServing, servers: readonly Backend[], request: WeightsRequest): number {
+    const { model, adapter } = request
     if (adapter === undefined) return 0
     const now = this.opts.clock.readTime()
-    const name = `${need.service}|${nameWeights(model, adapter)}`
-    const readyAt = this.adapters.get(name)
+    const name = `${request.service}|${nameWeights(model, adapter)}`
+    const readyAt = this.adapterReadyAt.get(name)
     if (readyAt !== undefined) return Math.max(0, readyAt - now)
-    this.adapters.set(name, now + ADAPTER_MS)
-    const demand = this.findDemand(need.service)
-    const done = this.loads.bringAdapter({ serving, holding, model, adapter, readIdleMs: (it) => demand.read(it).idleMs })
-    void done.finally(() => this.adapters.delete(name))
-    return ADAPTER_MS
+    this.adapterReadyAt.set(name, now + EXPECTED_ADAPTER_LOAD_MS)
+    const demand = this.findDemand(request.service)
+    const loading = this.loads.ensureAdapter({ serving, servers, model, adapter, readIdleMs: (it) => demand.read(it).idleMs })
+    void loading.finally(() => this.adapterReadyAt.delete(name))
+    return EXPECTED_ADAPTER_LOAD_MS
   }
 
-  private listHolding (need: WeightsNeed): Backend[] {
-    return this.listUsable(need.service).filter((backend) => this.loads.isKeeping(backend, need.model))
+  private listWithModel (request: WeightsRequest): Backend[] {
+    return this.listUsable(request.service).filter((backend) => this.loads.isRetaining(backend, request.model))
   }
 
   private listUsable (service: string): Backend[] {
@@ -152,7 +151,7 @@
     return staying.filter((backend) => !backend.outlier.isEjected(now))
   }
 
-  private buildInput (service: string, serving: ModelServing): PlanInput {
+  private buildPlanInput (service: string, serving: ModelServing): PlanInput {
     const demand = this.findDemand(service)
     return {
       serving,
@@ -167,29 +166,28 @@
   }
 
   private findDemand (service: string): DemandTracker {
-    const present = this.demands.get(service)
+    const present = this.demandByService.get(service)
     if (present) return present
     const created = new DemandTracker(this.opts.clock, this.opts.policy.demandTrend)
-    this.demands.set(service, created)
+    this.demandByService.set(service, created)
     return created
   }
 
   private findBucket (service: string): LoadBucket {
-    const present = this.buckets.get(service)
+    const present = this.bucketByService.get(service)
     if (present) return present
     const created = new LoadBucket(this.opts.clock, () => this.findServing(service)?.loadsPerSecond ?? 0)
-    this.buckets.set(service, created)
+    this.bucketByService.set(service, created)
     return created
   }
 }
 
-/** For people who read the log. */
-function roundFigure (value: number): number {
+function roundToHundredths (value: number): number {
   return Math.round(value * 100) / 100
 }
 
-/** As many loads as are under way when the weight store lets them begin at its full rate; more would only make each slower. */
-function countAtOnce (serving: ModelServing): number {
+/** Number of loads in progress when they start at the weight store's full rate; more would only slow each of them down. */
+function computeMaxConcurrentLoads (serving: ModelServing): number {
   const loadSeconds = Math.max(0, ...serving.models.map((model) => model.loadSeconds))
-  return Math.max(MIN_PLANNED_AT_ONCE, Math.floor(serving.loadsPerSecond * loadSeconds))
+  return Math.max(MIN_CONCURRENT_LOADS, Math.floor(serving.loadsPerSecond * loadSeconds))
 }
--- a/placement/residency/src/ServerLoads.ts
+++ b/placement/residency/src/ServerLoads.ts
@@ -3,39 +3,39 @@
 import type { Clock } from '@pulleystack/core.clock'
 import type { Backend, BackendFleet } from '@pulleystack/routing.fleet'
 import type { DecisionLog } from '@pulleystack/timeline.decisions'
-import { loadAdapter } from './loadAdapter.js'
 import type { InheritedLoad, WeightsChange } from './channels.js'
+import { loadAdapter } from './loadAdapter.js'
 import { hasRoom } from './memory.js'
 import type { PlannedLoad, PlannedServer } from './planResidency.js'
-import { ServerOrders, type OrderRight } from './ServerOrders.js'
-
-/** Milliseconds after an unload order before the first look whether it is done; when nothing runs, it is. */
-const UNLOAD_WAIT_MS = 60
-/** An unload waits for the streams that run, which take this long at most on a server of the usual pace. */
-const UNLOAD_EXTRA_MS = 6_000
-/** A load of an earlier holder is taken for done or lost so long after it should have ended; the server's entry shows it by then. */
-const INHERITED_EXTRA_MS = 1_000
-/** A server at which a load came to nothing (it does other things, or can't be reached) is left alone for this long. */
-const FAILED_PAUSE_MS = 600
-/** A model that came is not to go again for this long, in which those who waited for it are served. */
-const FRESH_MS = 5_000
-/** Order in which servers are asked for adapters: those with nothing to do come first. */
+import { ServerOrders, type OrderPermit } from './ServerOrders.js'
+
+/** Enough for an unload when no request is running. */
+const FIRST_UNLOAD_POLL_MS = 60
+/** An unload waits for the running streams. */
+const UNLOAD_GRACE_MS = 6_000
+/** Time after the expected end of an earlier holder's load; by then the server's entry shows the outcome. */
+const INHERITED_LOAD_GRACE_MS = 1_000
+/** Backoff after a failed load on a server that is busy or unreachable. */
+const FAILED_LOAD_BACKOFF_MS = 600
+/** Minimum time before a loaded model may be unloaded, so that waiting requests are served. */
+const MIN_RESIDENCE_MS = 5_000
+/** Ranks servers with pending orders behind idle ones when an adapter is placed. */
 const BUSY_PENALTY = 1_000
 
-/** Monotone times before which servers are not ordered, since an earlier holder has ordered them. */
+/** Monotone times before which servers get no orders, because of orders from an earlier holder. */
 export interface HoldOff {
   notBefore: number
   byBackend: ReadonlyMap<string, number>
 }
 
-/** An adapter that somebody waits for. */
-export interface WantedAdapter {
+/** A request to load an adapter. */
+export interface AdapterRequest {
   serving: ModelServing
-  /** Servers that have its model. */
-  holding: readonly Backend[]
+  /** Servers that have the adapter's model. */
+  servers: readonly Backend[]
   model: string
   adapter: string
-  /** Milliseconds since an adapter was last asked for, by model/adapter. */
+  /** Milliseconds since an adapter was last requested, by model/adapter. */
   readIdleMs: (name: string) => number
 }
 
@@ -44,25 +44,24 @@
   fleet: BackendFleet
   weights: WeightsClient
   log: DecisionLog
-  /** Undefined while this instance may not order. */
-  readRight: () => OrderRight | undefined
+  /** Undefined while this instance may not send orders. */
+  readRight: () => OrderPermit | undefined
   onChange: (change: WeightsChange) => void
 }
 
-/** A load that is under way. */
 interface RunningLoad {
   load: PlannedLoad
   startedAt: number
 }
 
-/** Carries out loads of models and adapters, one after the other at each server. */
+/** Carries out loads of models and adapters, one at a time on each server. */
 export class ServerLoads {
   private readonly orders = new Map<string, ServerOrders>()
   private readonly running = new Map<string, RunningLoad>()
-  /** When each server's models were loaded, by server and model. */
+  /** Monotone times at which models were loaded, by server and model. */
   private readonly loadedAt = new Map<string, Map<string, number>>()
-  /** Monotone time until which servers are left alone. */
-  private readonly pausedUntil = new Map<string, number>()
+  /** Monotone time until which a server gets no loads, by server. */
+  private readonly backoffUntil = new Map<string, number>()
   private holdOff: HoldOff = { notBefore: -Infinity, byBackend: new Map() }
 
   constructor (private readonly opts: ServerLoadsOptions) {
@@ -71,23 +70,23 @@
       this.orders.delete(backend.id)
       this.running.delete(backend.id)
       this.loadedAt.delete(backend.id)
-      this.pausedUntil.delete(backend.id)
+      this.backoffUntil.delete(backend.id)
     })
   }
 
-  /** Loads under way. */
+  /** Number of loads in progress. */
   get size (): number {
     return this.running.size
   }
 
-  /** Forgets what was known of sequences; servers are left alone as an earlier holder's orders ask, and its loads count as under way. */
+  /** Resets the order queues after the lease was acquired. Loads of an earlier holder count as in progress. */
   begin (holdOff: HoldOff, inherited: readonly InheritedLoad[]): void {
     this.holdOff = holdOff
     this.orders.clear()
     for (const { load, leftMs } of inherited) this.addInherited(load, leftMs)
   }
 
-  /** Loads under way, for a successor. */
+  /** Loads in progress, to be handed over to a successor. */
   listRunning (): InheritedLoad[] {
     return [...this.running].map(([backend, { load }]) => ({ load, leftMs: this.estimateBusyMs(backend) }))
   }
@@ -96,62 +95,62 @@
     if (this.running.has(load.server) || !this.opts.fleet.find(load.server)) return
     const inherited = { load: { ...load, clearMs: 0, loadMs: leftMs }, startedAt: this.opts.clock.readTime() }
     this.running.set(load.server, inherited)
-    this.opts.clock.setTimer(leftMs + INHERITED_EXTRA_MS, () => {
+    this.opts.clock.setTimer(leftMs + INHERITED_LOAD_GRACE_MS, () => {
       if (this.running.get(load.server) === inherited) this.running.delete(load.server)
     })
   }
 
-  /** Servers ordered within a while, with the milliseconds since. */
+  /** Servers that got orders within the last `withinMs`, with the milliseconds since the latest one. */
   listOrdered (withinMs: number): [backend: string, agoMs: number][] {
     const now = this.opts.clock.readTime()
     const ordered = [...this.orders].map(([backend, orders]): [string, number] => [backend, now - orders.newestOrderAt])
     return ordered.filter(([, agoMs]) => agoMs < withinMs)
   }
 
-  /** Milliseconds until a load of the model that is under way will likely end; undefined when there is none. */
+  /** Estimated milliseconds until a load of the model ends; undefined when none is in progress. */
   findExpectedMs (model: string): number | undefined {
     const now = this.opts.clock.readTime()
-    const left = [...this.running.values()]
+    const leftMs = [...this.running.values()]
       .filter(({ load }) => load.model === model)
       .map(({ load, startedAt }) => Math.max(0, startedAt + load.clearMs + load.loadMs - now))
-    return left.length === 0 ? undefined : Math.min(...left)
+    return leftMs.length === 0 ? undefined : Math.min(...leftMs)
   }
 
-  /** Whether a server has the model and keeps it. */
-  isKeeping (backend: Backend, model: string): boolean {
+  /** Whether a server has the model and isn't about to unload it. */
+  isRetaining (backend: Backend, model: string): boolean {
     return backend.hasWeights(model) && !this.running.get(backend.id)?.load.victims.includes(model)
   }
 
-  /** A server as the plan sees it, with the load under way counted as done. */
+  /** Describes a server for planning, with the load in progress counted as completed. */
   describe (backend: Backend): PlannedServer {
     const load = this.running.get(backend.id)?.load
     const now = this.opts.clock.readTime()
-    const held = (backend.entry.models ?? []).map((model) => model.name).filter((name) => !load?.victims.includes(name))
+    const resident = (backend.entry.models ?? []).map((model) => model.name).filter((name) => !load?.victims.includes(name))
     const loadedAt = [...this.loadedAt.get(backend.id) ?? []]
     return {
       id: backend.id,
-      models: load && !held.includes(load.model) ? [...held, load.model] : held,
+      models: load && !resident.includes(load.model) ? [...resident, load.model] : resident,
       inMemory: backend.entry.inMemory,
       onDisk: backend.entry.onDisk,
       ...load ? { loading: load.model } : {},
       busyMs: this.estimateBusyMs(backend.id),
       limitPerSecond: backend.stated.limit.perSecond,
-      fresh: loadedAt.filter(([, at]) => at > now - FRESH_MS).map(([model]) => model),
-      heldMs: Math.max(backend.stated.backoff.readLeftMs(now), this.readHoldOff(backend.id) - now),
+      recentlyLoaded: loadedAt.filter(([, at]) => at > now - MIN_RESIDENCE_MS).map(([model]) => model),
+      holdOffMs: Math.max(backend.stated.backoff.readLeftMs(now), this.readHoldOff(backend.id) - now),
       running: backend.readLoad().running,
     }
   }
 
   private estimateBusyMs (backend: string): number {
     const now = this.opts.clock.readTime()
-    const pausedMs = (this.pausedUntil.get(backend) ?? -Infinity) - now
+    const backoffMs = (this.backoffUntil.get(backend) ?? -Infinity) - now
     const running = this.running.get(backend)
-    if (!running) return Math.max(0, pausedMs)
-    // One that takes longer than expected may end at any time.
+    if (!running) return Math.max(0, backoffMs)
+    // An overdue load may end at any time, but the server is still busy.
     return Math.max(1, running.startedAt + running.load.clearMs + running.load.loadMs - now)
   }
 
-  /** Carries one planned load out. */
+  /** Carries out a planned load. */
   async run (serving: ModelServing, load: PlannedLoad): Promise<void> {
     const backend = this.opts.fleet.find(load.server)
     if (!backend) return
@@ -159,17 +158,17 @@
     const orders = this.findOrders(backend)
     try {
       const isLoaded = await orders.enqueue(() => this.carryOut(serving, load, orders))
-      if (!isLoaded) this.pausedUntil.set(load.server, this.opts.clock.readTime() + FAILED_PAUSE_MS)
+      if (!isLoaded) this.backoffUntil.set(load.server, this.opts.clock.readTime() + FAILED_LOAD_BACKOFF_MS)
     } finally {
       this.running.delete(load.server)
     }
   }
 
-  /** Brings an adapter to one of the servers that have its model, the least busy of them. */
-  async bringAdapter (it: WantedAdapter): Promise<void> {
+  /** Loads an adapter on the least busy server that has its model and hasn't requested a pause. */
+  async ensureAdapter (it: AdapterRequest): Promise<void> {
     const now = this.opts.clock.readTime()
-    const rested = it.holding.filter((holding) => !holding.stated.backoff.isActive(now))
-    const [backend] = rested.sort((a, b) => this.rateForAdapter(a) - this.rateForAdapter(b))
+    const available = it.servers.filter((server) => !server.stated.backoff.isActive(now))
+    const [backend] = available.sort((a, b) => this.rankForAdapter(a) - this.rankForAdapter(b))
     if (!backend) return
     const orders = this.findOrders(backend)
     const onChange = (model: string, adapter: string, present: boolean): void => this.opts.onChange({ backend: backend.id, model, adapter, present })
@@ -177,25 +176,25 @@
     await orders.enqueue(() => loadAdapter({ serving, orders, readIdleMs, onChange }, model, adapter))
   }
 
-  /** Room first, as the server itself confirms, then the load. */
+  /** Unloads the victims, waits until the server confirms it, then loads the model. Resolves to true when the model is loaded. */
   private async carryOut (serving: ModelServing, load: PlannedLoad, orders: ServerOrders): Promise<boolean> {
     let state = await orders.readSettled()
-    if (!state || state.busy || state.models.some((held) => held.name === load.model)) return false
+    if (!state || state.busy || state.models.some((it) => it.name === load.model)) return false
     for (const victim of load.victims) {
-      if (!state.models.some((held) => held.name === victim)) continue
+      if (!state.models.some((it) => it.name === victim)) continue
       if (!await this.unload(load.server, victim, orders)) return false
-      state = await orders.waitFor((now) => !now.models.some((held) => held.name === victim), UNLOAD_WAIT_MS, UNLOAD_EXTRA_MS)
+      state = await orders.waitFor((now) => !now.models.some((it) => it.name === victim), FIRST_UNLOAD_POLL_MS, UNLOAD_GRACE_MS)
       if (!state) return false
     }
     if (!hasRoom(serving, state, load.model, false)) return false
     if (!await orders.send('load', load.model, undefined)) return false
-    const loaded = await orders.waitFor((now) => now.models.some((held) => held.name === load.model), load.loadMs)
+    const loaded = await orders.waitFor((now) => now.models.some((it) => it.name === load.model), load.loadMs)
     if (loaded) this.opts.onChange({ backend: load.server, model: load.model, adapter: undefined, present: true })
-    this.noteLoaded(load.server, load.model)
+    this.recordLoaded(load.server, load.model)
     return loaded !== undefined
   }
 
-  /** The server refuses new requests for the model until those that run have ended, so that everybody is told first. */
+  /** Announces the change before the order, since the server then rejects new requests for the model. */
   private async unload (backend: string, model: string, orders: ServerOrders): Promise<boolean> {
     const change = { backend, model, adapter: undefined }
     this.opts.onChange({ ...change, present: false })
@@ -204,11 +203,11 @@
     return isSent
   }
 
-  private rateForAdapter (backend: Backend): number {
+  private rankForAdapter (backend: Backend): number {
     return (this.findOrders(backend).isBusy ? BUSY_PENALTY : 0) + backend.readLoad().running
   }
 
-  private noteLoaded (backend: string, model: string): void {
+  private recordLoaded (backend: string, model: string): void {
     const models = this.loadedAt.get(backend) ?? new Map<string, number>()
     models.set(model, this.opts.clock.readTime())
     this.loadedAt.set(backend, models)
--- a/placement/residency/src/channels.ts
+++ b/placement/residency/src/channels.ts
@@ -1,67 +1,67 @@
 import { defineChannel } from '@pulleystack/membership.peers'
 import type { PlannedLoad } from './planResidency.js'
 import type { DemandCount } from './DemandTracker.js'
-import type { NeedAnswer, WeightsNeed } from './ResidencyClient.js'
+import type { NeedAnswer, WeightsRequest } from './ResidencyClient.js'
 
-/** The lease holder tells that it is well, and which version of the lease's record it wrote last. */
-export interface HolderBeat {
+/** Heartbeat of the lease holder, with the version of the lease record that it last wrote. */
+export interface HolderHeartbeat {
   fence: number
   recordVersion: number
 }
-export const HOLDER_BEAT = defineChannel<HolderBeat>('residency.holder')
+export const HOLDER_HEARTBEAT = defineChannel<HolderHeartbeat>('residency.holder')
 
-/** A load that an earlier holder ordered and that its server may still carry out. */
+/** A load that an earlier holder ordered and that may still be in progress. */
 export interface InheritedLoad {
   load: PlannedLoad
-  /** Milliseconds until it will likely have ended. */
+  /** Estimated milliseconds until it ends. */
   leftMs: number
 }
 
-/** What a holder leaves to its successor. */
+/** State that a lease holder passes to its successor. */
 export interface Handover {
-  /** The holder as the lease names it. */
+  /** The holder's name in the lease. */
   holder: string
-  /** Its fence; the same holder with another fence orders again. */
+  /** The holder's fence; the same holder with another fence has acquired the lease again. */
   fence: number
-  /** Servers that it ordered lately, and milliseconds since. */
+  /** Servers that recently got orders, with the milliseconds since the latest order. */
   ordered: [backend: string, agoMs: number][]
-  /** Loads under way. */
+  /** Loads in progress. */
   loads: InheritedLoad[]
 }
 
-/** The lease holder tells that it orders no more. */
+/** Announces that the lease holder sends no more orders. */
 export const HANDOVER = defineChannel<Handover>('residency.handover', { isOnce: true })
-/** Asks the lease holder for weights. */
-export const NEED = defineChannel<WeightsNeed, NeedAnswer>('residency.need')
-/** What one instance was asked for over a while. */
+/** Requests weights from the lease holder. */
+export const WEIGHTS_REQUEST = defineChannel<WeightsRequest, NeedAnswer>('residency.need')
+/** Demand at one instance over an interval. */
 export interface DemandReport {
   counts: DemandCount[]
-  /** Milliseconds over which the requests came. */
+  /** Length of the interval in milliseconds. */
   spanMs: number
 }
 
-/** Tells the lease holder what was asked for since the last message. */
-export const DEMAND = defineChannel<DemandReport>('residency.demand')
+/** Reports demand to the lease holder. */
+export const DEMAND_REPORT = defineChannel<DemandReport>('residency.demand')
 
-/** A model or an adapter of it came to a server, or is to go and takes no new requests there. */
+/** A model or adapter was loaded on a server, or is about to be unloaded and accepts no new requests. */
 export interface WeightsChange {
   backend: string
   model: string
-  /** Undefined for the model itself. */
+  /** Undefined when the change concerns the model itself. */
   adapter: string | undefined
   present: boolean
 }
 
-/** The lease holder tells what came to a server or is to go. */
-export const WEIGHTS = defineChannel<WeightsChange>('residency.weights', { isOnce: true })
+/** Announces that weights were loaded or are about to be unloaded. */
+export const WEIGHTS_CHANGE = defineChannel<WeightsChange>('residency.weights', { isOnce: true })
 
-/** What an instance says to a holder that has lost the store. */
-export interface HoldOnAnswer {
-  /** It has lost the store too, and leaves the lease alone for a while. */
+/** Answer to a lease holder that has lost the store. */
+export interface OutageGrantAnswer {
+  /** This instance has lost the store too and won't acquire the lease for a while. */
   granted: boolean
-  /** The store answered it, or one that tells it of changes, after the holder had lost it. */
+  /** This instance reached the store, directly or through a peer, after the holder had lost it. */
   reachesStore: boolean
 }
 
-/** The holder, which lost the store so long ago, asks another instance to leave the lease alone. */
-export const HOLD_ON = defineChannel<{ lostMs: number }, HoldOnAnswer>('residency.hold-on')
+/** The holder, which lost the store `lostMs` ago, asks another instance not to acquire the lease. */
+export const OUTAGE_GRANT = defineChannel<{ lostMs: number }, OutageGrantAnswer>('residency.hold-on')
--- a/placement/residency/test/LoadBucket.test.ts
+++ b/placement/residency/test/LoadBucket.test.ts
@@ -5,33 +5,33 @@
 import { LoadBucket } from '../src/index.js'
 
 const WINDOW_MS = 5_000
-/** What the weight store allows in a window: its rate, a tenth over it, and three loads more. */
-const OVER = 1.1
-const EXTRA = 3
+/** The weight store tolerates a tenth more than its rate in a window, and three additional loads. */
+const RATE_TOLERANCE = 1.1
+const EXTRA_LOADS = 3
 
 function countInBusiestWindow (times: readonly number[]): number {
   return Math.max(0, ...times.map((start) => times.filter((at) => at >= start && at < start + WINDOW_MS).length))
 }
 
-describe('the bucket of loads from the weight store', () => {
-  it('never lets more begin in a window than the store allows, over any changes of holder', async () => {
+describe('LoadBucket', () => {
+  it('never allows more loads in a window than the weight store, across changes of the lease holder', async () => {
     const step = fc.record({ waitMs: fc.integer({ min: 0, max: 1_500 }), asks: fc.integer({ min: 0, max: 12 }), isNewHolder: fc.boolean() })
     const steps = fc.array(step, { minLength: 1, maxLength: 60 })
-    await fc.assert(fc.asyncProperty(steps, fc.double({ min: 0.2, max: 20, noNaN: true }), async (taken, rate) => {
+    await fc.assert(fc.asyncProperty(steps, fc.double({ min: 0.2, max: 20, noNaN: true }), async (chosenSteps, rate) => {
       const clock = new ManualClock()
       let bucket = new LoadBucket(clock, () => rate)
-      const begun: number[] = []
-      for (const { waitMs, asks, isNewHolder } of taken) {
+      const startTimes: number[] = []
+      for (const { waitMs, asks, isNewHolder } of chosenSteps) {
         await clock.advance(waitMs)
-        // A successor knows nothing of what its predecessor has begun.
+        // A successor has no record of the loads that its predecessor started.
         if (isNewHolder) bucket = new LoadBucket(clock, () => rate)
-        for (let asked = 0; asked < asks; asked++) if (bucket.take()) begun.push(clock.readTime())
+        for (let asked = 0; asked < asks; asked++) if (bucket.take()) startTimes.push(clock.readTime())
       }
-      assert.ok(countInBusiestWindow(begun) <= rate * WINDOW_MS / 1000 * OVER + EXTRA)
+      assert.ok(countInBusiestWindow(startTimes) <= rate * WINDOW_MS / 1000 * RATE_TOLERANCE + EXTRA_LOADS)
     }), { numRuns: 60 })
   })
 
-  it('is empty after a change of holder and says when the next may begin', async () => {
+  it('is empty after drain and reports the time until the next load', async () => {
     const clock = new ManualClock()
     const bucket = new LoadBucket(clock, () => 2)
     await clock.advance(5_000)
--- a/placement/residency/test/OutageGrants.test.ts
+++ b/placement/residency/test/OutageGrants.test.ts
@@ -9,19 +9,19 @@
 
 interface Node {
   grants: OutageGrants
-  /** Monotone time since which the store is lost; undefined while it answers. */
-  lostSince: number | undefined
+  /** Monotone time at which the store was lost; undefined while it responds. */
+  storeLostSince: number | undefined
 }
 
-describe('grants during an outage of the store', () => {
+describe('OutageGrants', () => {
   let clock: ManualClock
   let hub: FakeHub
   let holder: Node
   let other: Node
 
   const createNode = (name: string, listOthers: () => string[]): Node => {
-    const node: Node = { grants: undefined as unknown as OutageGrants, lostSince: undefined }
-    const readLostMs = (): number => node.lostSince === undefined ? 0 : clock.readTime() - node.lostSince
+    const node: Node = { grants: undefined as unknown as OutageGrants, storeLostSince: undefined }
+    const readLostMs = (): number => node.storeLostSince === undefined ? 0 : clock.readTime() - node.storeLostSince
     node.grants = new OutageGrants({
       clock,
       network: hub.createNode({ instance: name, incarnation: 1, address: '', peerAddress: '', region: '', dataHall: '', leaving: false }),
@@ -34,12 +34,12 @@
     node.grants.start()
     return node
   }
-  const lose = async (...nodes: Node[]): Promise<void> => {
-    for (const node of nodes) node.lostSince = clock.readTime()
+  const loseStore = async (...nodes: Node[]): Promise<void> => {
+    for (const node of nodes) node.storeLostSince = clock.readTime()
     await clock.advance(1_000)
   }
-  const ask = async (): Promise<void> => {
-    holder.grants.ask()
+  const requestGrants = async (): Promise<void> => {
+    holder.grants.requestGrants()
     await clock.advance(10)
   }
 
@@ -50,43 +50,43 @@
     other = createNode('other', () => ['holder'])
   })
 
-  it('let the holder go on for a fifth of the turn, and no longer without a new word', async () => {
-    await lose(holder, other)
-    assert.equal(holder.grants.isGranted, false)
-    await ask()
-    assert.equal(holder.grants.isGranted, true)
+  it('lets the holder continue for a fifth of turnMs unless the grant is renewed', async () => {
+    await loseStore(holder, other)
+    assert.equal(holder.grants.isGrantedByAll, false)
+    await requestGrants()
+    assert.equal(holder.grants.isGrantedByAll, true)
     await clock.advance(GRANT_MS)
-    assert.equal(holder.grants.isGranted, false)
+    assert.equal(holder.grants.isGrantedByAll, false)
   })
 
-  it('bind who gave them for a whole turn after the last order that they allow', async () => {
-    await lose(holder, other)
-    await ask()
+  it('binds the granting instance for turnMs after the grant has expired', async () => {
+    await loseStore(holder, other)
+    await requestGrants()
     await clock.advance(GRANT_MS + TURN_MS - 20)
     assert.equal(other.grants.isPromised, true)
     await clock.advance(100)
     assert.equal(other.grants.isPromised, false)
   })
 
-  it('are not given by one that reaches the store, which says so', async () => {
-    await lose(holder)
-    await ask()
-    assert.equal(holder.grants.isGranted, false)
+  it('is not granted by an instance that reaches the store, and is contradicted by it', async () => {
+    await loseStore(holder)
+    await requestGrants()
+    assert.equal(holder.grants.isGrantedByAll, false)
     assert.equal(holder.grants.isContradicted, true)
     assert.equal(other.grants.isPromised, false)
   })
 
-  it('need the word of every other instance that may exist', async () => {
+  it('needs a grant from every other instance that may exist', async () => {
     holder = createNode('holder', () => ['other', 'dead'])
-    await lose(holder, other)
-    await ask()
-    assert.equal(holder.grants.isGranted, false)
+    await loseStore(holder, other)
+    await requestGrants()
+    assert.equal(holder.grants.isGrantedByAll, false)
   })
 
-  it('are for nothing once the store answers the holder', async () => {
-    await lose(holder, other)
-    await ask()
-    holder.lostSince = undefined
-    assert.equal(holder.grants.isGranted, false)
+  it('does not count once the holder reaches the store again', async () => {
+    await loseStore(holder, other)
+    await requestGrants()
+    holder.storeLostSince = undefined
+    assert.equal(holder.grants.isGrantedByAll, false)
   })
 })
--- a/placement/residency/test/RecordingServers.ts
+++ b/placement/residency/test/RecordingServers.ts
@@ -4,7 +4,7 @@
 import type { ManualClock } from '@pulleystack/core.clock'
 import type { PulleystackError } from '@pulleystack/core.errors'
 
-/** Three of its four models fit into a server. */
+/** Only three of the four models fit into a server. */
 export const SERVING: ModelServing = {
   batchSlots: 8,
   cacheTokens: 100_000,
@@ -14,18 +14,18 @@
   models: ['a', 'b', 'c', 'd'].map((name) => ({ name, weightsMb: 60, adapterMb: 1, adapters: 4, loadSeconds: 0.1, diskSeconds: 0.1, memorySeconds: 0.1 })),
 }
 
-/** One order as it reached a server. */
-export interface ArrivedOrder {
+/** An order received by a server. */
+export interface ReceivedOrder {
   at: number
   server: string
   holder: string
   fence: number
 }
 
-/** Servers that count their own memory, refuse nothing that a holder could get wrong, and note who ordered when. */
+/** Servers that reject only orders with an unexpected sequence number; they record all orders, and whether their memory was exceeded. */
 export class RecordingServers extends WeightsClient {
-  readonly arrived: ArrivedOrder[] = []
-  readonly held = new Map<string, { models: Set<string>, sequence: number }>()
+  readonly received: ReceivedOrder[] = []
+  readonly stateById = new Map<string, { models: Set<string>, sequence: number }>()
   overcommitted = false
 
   constructor (private readonly clock: ManualClock) {
@@ -33,11 +33,11 @@
   }
 
   add (id: string, ...models: string[]): void {
-    this.held.set(id, { models: new Set(models), sequence: 0 })
+    this.stateById.set(id, { models: new Set(models), sequence: 0 })
   }
 
   override async readState (target: WeightsTarget): Promise<Result<WeightsState, PulleystackError>> {
-    const server = this.held.get(target.backendId)
+    const server = this.stateById.get(target.backendId)
     return ok({
       sequence: server?.sequence ?? 0,
       busy: false,
@@ -49,8 +49,8 @@
   }
 
   override async sendOrder (target: WeightsTarget, order: WeightsOrder): Promise<Result<OrderAnswer, PulleystackError>> {
-    this.arrived.push({ at: this.clock.readTime(), server: target.backendId, holder: order.holder, fence: order.fence })
-    const server = this.held.get(target.backendId)
+    this.received.push({ at: this.clock.readTime(), server: target.backendId, holder: order.holder, fence: order.fence })
+    const server = this.stateById.get(target.backendId)
     if (!server || order.expectedSequence !== server.sequence) return ok(OrderAnswers.CONFLICT)
     server.sequence++
     if (order.action === 'load') server.models.add(order.model)
--- a/placement/residency/test/ResidencyHolder.test.ts
+++ b/placement/residency/test/ResidencyHolder.test.ts
@@ -8,12 +8,12 @@
 import { ResidencyHolder } from '../src/index.js'
 import { RecordingServers, SERVING } from './RecordingServers.js'
 
-describe('the holder of a large system whose servers come back empty', () => {
+describe('ResidencyHolder in a large system whose servers have restarted empty', () => {
   const SERVERS = 30
   const RATE = 20
   const LOAD_SECONDS = 4
 
-  it('loads at as many servers at once as the weight store\'s rate allows', async () => {
+  it('loads on as many servers concurrently as the weight store\'s rate allows', async () => {
     const clock = new ManualClock()
     const servers = new RecordingServers(clock)
     const models = Array.from({ length: SERVERS }, (_, at) => ({ name: `m${at}`, weightsMb: 60, adapterMb: 1, adapters: 0, loadSeconds: LOAD_SECONDS, diskSeconds: LOAD_SECONDS, memorySeconds: LOAD_SECONDS }))
@@ -28,12 +28,12 @@
     const log = new SilentDecisionLog()
     const holder = new ResidencyHolder({ clock, fleet, weights: servers, log, policy: DEFAULT_POLICY, readTable: () => table, readRight: () => ({ holder: 'h', fence: 1 }), onChange: () => undefined })
     const counts = models.map(({ name }) => ({ service: 's', model: name, adapter: undefined, requests: 10, ended: 0, heldMs: 0, readTokens: 0, inHand: 10 }))
-    holder.noteDemand('e1', { counts, spanMs: 1_000 })
+    holder.recordDemand('e1', { counts, spanMs: 1_000 })
     for (let tick = 0; tick < 20; tick++) {
       holder.plan()
       await clock.advance(150)
     }
-    const ordered = new Set(servers.arrived.map((order) => order.server))
-    assert.ok(ordered.size > 20, `${ordered.size} servers were ordered within three seconds`)
+    const ordered = new Set(servers.received.map((order) => order.server))
+    assert.ok(ordered.size > 20, `${ordered.size} servers got orders within three seconds`)
   })
 })
--- a/placement/residency/test/ResidencyService.test.ts
+++ b/placement/residency/test/ResidencyService.test.ts
@@ -22,64 +22,64 @@
   lease: ShardLease
   service: ResidencyService
   fleet: BackendFleet
-  store: CuttableStore
+  store: FailingStore
   ended: AbortController
 }
 
-/** The common store, which one instance may be cut off from, in silence or by refusals. */
-class CuttableStore extends MemoryObjectStore {
-  isCut = false
-  /** Monotone time since which it refuses; undefined while it does not. */
-  refusesSince: number | undefined
+/** One instance's view of the shared store, which can stop responding or fail every operation. */
+class FailingStore extends MemoryObjectStore {
+  isUnresponsive = false
+  /** Monotone time since which all operations fail; undefined while they succeed. */
+  unavailableSince: number | undefined
 
   constructor (private readonly shared: MemoryObjectStore) {
     super({ clock: new ManualClock() })
   }
 
   override readObject (...args: Parameters<MemoryObjectStore['readObject']>): ReturnType<MemoryObjectStore['readObject']> {
-    if (this.refusesSince !== undefined) return Promise.resolve(err(new PulleystackError('STORE_UNAVAILABLE', 'The store is down')))
-    return this.isCut ? new Promise(() => undefined) : this.shared.readObject(...args)
+    if (this.unavailableSince !== undefined) return Promise.resolve(err(new PulleystackError('STORE_UNAVAILABLE', 'The store is down')))
+    return this.isUnresponsive ? new Promise(() => undefined) : this.shared.readObject(...args)
   }
 
   override writeObject (...args: Parameters<MemoryObjectStore['writeObject']>): ReturnType<MemoryObjectStore['writeObject']> {
-    if (this.refusesSince !== undefined) return Promise.resolve(err(new PulleystackError('STORE_UNAVAILABLE', 'The store is down')))
-    return this.isCut ? new Promise(() => undefined) : this.shared.writeObject(...args)
+    if (this.unavailableSince !== undefined) return Promise.resolve(err(new PulleystackError('STORE_UNAVAILABLE', 'The store is down')))
+    return this.isUnresponsive ? new Promise(() => undefined) : this.shared.writeObject(...args)
   }
 }
 
-describe('instances that take turns at ordering', () => {
+describe('ResidencyService on several instances', () => {
   let clock: ManualClock
   let servers: RecordingServers
   let nodes: Node[]
   let capacities: Map<string, number>
   let hub: FakeHub
-  let noticeMs: number
+  let detectionMs: number
 
   const listHolders = (): string[] => nodes.filter((node) => node.service.mayOrder).map((node) => node.name)
-  const ask = (node: Node, model: string): Promise<unknown> => node.service.requestWeights({ service: 's', model, adapter: undefined, isMore: false, waitMs: 3_000 })
-  /** Shortest time between orders of two holders to one server. */
-  const findShortestTurn = (): number => {
-    const gaps = servers.arrived.flatMap((order, at) => servers.arrived.slice(0, at)
+  const requestModel = (node: Node, model: string): Promise<unknown> => node.service.requestWeights({ service: 's', model, adapter: undefined, isMore: false, waitMs: 3_000 })
+  /** Shortest time between the orders of two holders to one server. */
+  const findShortestGapAtServer = (): number => {
+    const gaps = servers.received.flatMap((order, at) => servers.received.slice(0, at)
       .filter((earlier) => earlier.server === order.server && earlier.holder !== order.holder)
       .map((earlier) => order.at - earlier.at))
     return Math.min(Infinity, ...gaps)
   }
 
-  /** Shortest time between the last order of one holder and the first of the next, to whichever servers. */
-  const findShortestChange = (): number => {
-    const gaps = servers.arrived.flatMap((order, at) => {
-      const earlier = servers.arrived[at - 1]
+  /** Shortest time between the last order of one holder and the first order of the next, to any servers. */
+  const findShortestHandoverGap = (): number => {
+    const gaps = servers.received.flatMap((order, at) => {
+      const earlier = servers.received[at - 1]
       return earlier && earlier.holder !== order.holder ? [order.at - earlier.at] : []
     })
     return Math.min(Infinity, ...gaps)
   }
 
-  /** Servers lose models again and again, and everybody asks for them, so that whoever may order does. */
+  /** Repeatedly removes models from the servers and requests them at every instance, so that any instance allowed to send orders does so. */
   const churn = async (rounds: number): Promise<void> => {
     for (let round = 0; round < rounds; round++) {
       const model = 'abcd'[round % 4] as string
-      for (const held of servers.held.values()) held.models.delete(model)
-      for (const node of nodes) if (!node.ended.signal.aborted) void ask(node, model)
+      for (const server of servers.stateById.values()) server.models.delete(model)
+      for (const node of nodes) if (!node.ended.signal.aborted) void requestModel(node, model)
       await clock.advance(200)
     }
   }
@@ -88,26 +88,26 @@
     clock = new ManualClock()
     servers = new RecordingServers(clock)
     capacities = new Map()
-    noticeMs = 0
+    detectionMs = 0
     for (const id of ['r1', 'r2', 'r3']) servers.add(id, 'a', 'b', 'c')
     const shared = new MemoryObjectStore({ clock })
     hub = new FakeHub({ clock, random: new RandomSource(1) })
     const listNames = (): string[] => nodes.filter((node) => !node.ended.signal.aborted).map((node) => node.name)
     const listAll = (): string[] => nodes.map((node) => node.name)
-    nodes = ['n1', 'n2', 'n3'].map((name) => createNode(name, { clock, servers, shared, hub, listNames, listAll, readCapacity: (instance) => capacities.get(instance) ?? 1, readNoticeMs: () => noticeMs }))
+    nodes = ['n1', 'n2', 'n3'].map((name) => createNode(name, { clock, servers, shared, hub, listNames, listAll, readCapacity: (instance) => capacities.get(instance) ?? 1, readDetectionMs: () => detectionMs }))
     for (const node of nodes) node.service.start(node.ended.signal)
     await clock.advance(6_000)
   })
 
-  it('agree on one holder', () => {
+  it('agrees on one holder', () => {
     assert.equal(listHolders().length, 1)
   })
 
-  it('hand over in a planned stop at once for servers that were not ordered lately, and a bound later for others', async () => {
+  it('hands over in a planned stop and waits only for servers with recent orders', async () => {
     const first = nodes.find((node) => node.service.mayOrder) as Node
-    await ask(first, 'd')
+    await requestModel(first, 'd')
     await clock.advance(300)
-    const ordered = new Set(servers.arrived.map((order) => order.server))
+    const ordered = new Set(servers.received.map((order) => order.server))
     assert.equal(ordered.size, 1)
     const stopping = first.service.stop()
     await clock.advance(1_000)
@@ -117,164 +117,164 @@
     const [second] = nodes.filter((node) => node.service.mayOrder)
     assert.ok(second && second !== first)
     await clock.advance(8_000)
-    assert.ok(findShortestTurn() >= TURN_MS, `turn of ${findShortestTurn()} ms`)
+    assert.ok(findShortestGapAtServer() >= TURN_MS, `gap of ${findShortestGapAtServer()} ms`)
   })
 
-  it('hand over when the holder alone is cut off from the store, no two of them ordering one server within the bound', async () => {
+  it('hands over when only the holder loses the store, keeping the minimum time between the orders of two holders', async () => {
     const first = nodes.find((node) => node.service.mayOrder) as Node
-    first.store.isCut = true
+    first.store.isUnresponsive = true
     await churn(60)
     assert.ok(nodes.some((node) => node !== first && node.service.mayOrder))
-    assert.ok(findShortestTurn() >= TURN_MS, `turn of ${findShortestTurn()} ms`)
+    assert.ok(findShortestGapAtServer() >= TURN_MS, `gap of ${findShortestGapAtServer()} ms`)
   })
 
-  it('tell all others of a model that is to go before its server refuses requests for it', async () => {
+  it('announces an unload to all instances', async () => {
     const first = nodes.find((node) => node.service.mayOrder) as Node
     const others = nodes.filter((node) => node !== first)
     const countHolding = (node: Node): number => ['r1', 'r2', 'r3'].flatMap((id) => ['a', 'b', 'c'].filter((model) => node.fleet.find(id)?.hasWeights(model))).length
     assert.deepEqual(others.map(countHolding), [9, 9])
-    await ask(first, 'd')
+    await requestModel(first, 'd')
     await clock.advance(400)
     assert.deepEqual(others.map(countHolding), [8, 8])
   })
 
-  it('leave the lease to the most capable of those that live', async () => {
+  it('leaves the lease to the live instance with the highest capacity', async () => {
     for (const name of ['n1', 'n2', 'n3']) {
       capacities.clear()
       const first = nodes.find((node) => node.service.mayOrder) as Node
       capacities.set(name, 4)
       if (first.name === name) continue
-      first.store.isCut = true
+      first.store.isUnresponsive = true
       await clock.advance(4_000)
       assert.deepEqual(listHolders(), [name])
-      first.store.isCut = false
+      first.store.isUnresponsive = false
       await clock.advance(8_000)
     }
   })
 
-  it('wait out a holder that falls silent, no two of them ordering one server within the bound', async () => {
+  it('replaces a holder that stops responding, keeping the minimum time between the orders of two holders', async () => {
     const first = nodes.find((node) => node.service.mayOrder) as Node
     await churn(10)
     first.ended.abort()
-    first.store.isCut = true
+    first.store.isUnresponsive = true
     await churn(60)
     assert.ok(nodes.some((node) => node !== first && node.service.mayOrder))
-    assert.ok(findShortestTurn() >= TURN_MS, `turn of ${findShortestTurn()} ms`)
+    assert.ok(findShortestGapAtServer() >= TURN_MS, `gap of ${findShortestGapAtServer()} ms`)
   })
 
-  describe('while the store is away', () => {
-    const cutOff = (node: Node): void => nodes.filter((other) => other !== node).forEach((other) => hub.cut(node.name, other.name))
-    const setDown = (down: readonly Node[]): void => {
-      for (const node of nodes) node.store.refusesSince = down.includes(node) ? node.store.refusesSince ?? clock.readTime() : undefined
+  describe('during an outage of the store', () => {
+    const isolate = (node: Node): void => nodes.filter((other) => other !== node).forEach((other) => hub.cut(node.name, other.name))
+    const setStoreDown = (down: readonly Node[]): void => {
+      for (const node of nodes) node.store.unavailableSince = down.includes(node) ? node.store.unavailableSince ?? clock.readTime() : undefined
     }
 
-    it('go on under one holder for as long as nobody can take the lease from it', async () => {
+    it('keeps the holder while no other instance can acquire the lease', async () => {
       const first = nodes.find((node) => node.service.mayOrder) as Node
-      setDown(nodes)
+      setStoreDown(nodes)
       await churn(50)
       assert.deepEqual(listHolders(), [first.name])
-      const before = servers.arrived.length
+      const before = servers.received.length
       await churn(10)
-      assert.ok(servers.arrived.length > before)
-      setDown([])
+      assert.ok(servers.received.length > before)
+      setStoreDown([])
       await churn(20)
       assert.deepEqual(listHolders(), [first.name])
-      assert.ok(findShortestTurn() >= TURN_MS, `turn of ${findShortestTurn()} ms`)
+      assert.ok(findShortestGapAtServer() >= TURN_MS, `gap of ${findShortestGapAtServer()} ms`)
     })
 
-    it('keep the lease with the holder when the outage is noticed only after the right to order has run out', async () => {
+    it('keeps the holder when the outage is detected only after its permission to send orders has expired', async () => {
       const first = nodes.find((node) => node.service.mayOrder) as Node
-      noticeMs = 1_000
-      setDown(nodes)
+      detectionMs = 1_000
+      setStoreDown(nodes)
       await churn(30)
       assert.deepEqual(listHolders(), [first.name])
     })
 
-    it('hand over soon when the store refuses the holder alone, though the holder hears from nobody that reaches it', async () => {
+    it('hands over soon when the store fails for the holder only', async () => {
       const first = nodes.find((node) => node.service.mayOrder) as Node
-      setDown([first])
+      setStoreDown([first])
       await churn(15)
       assert.ok(nodes.some((node) => node !== first && node.service.mayOrder))
-      assert.ok(findShortestTurn() >= TURN_MS, `turn of ${findShortestTurn()} ms`)
+      assert.ok(findShortestGapAtServer() >= TURN_MS, `gap of ${findShortestGapAtServer()} ms`)
     })
 
-    it('stop ordering when one of them falls silent, since it may reach the store', async () => {
+    it('stops sending orders when an instance stops responding, since that one may reach the store', async () => {
       const first = nodes.find((node) => node.service.mayOrder) as Node
       const silent = nodes.find((node) => node !== first) as Node
-      setDown(nodes)
+      setStoreDown(nodes)
       await churn(20)
-      cutOff(silent)
+      isolate(silent)
       await churn(8)
       assert.deepEqual(listHolders(), [])
     })
 
     for (const reachable of [0, 1, 2]) {
-      it(`keep the bound between two holders when the store comes back to one of them alone (${reachable})`, async () => {
-        setDown(nodes)
+      it(`keeps the minimum time between two holders when only one instance regains the store (${reachable})`, async () => {
+        setStoreDown(nodes)
         await churn(20)
-        setDown(nodes.filter((_, at) => at !== reachable))
+        setStoreDown(nodes.filter((_, at) => at !== reachable))
         await churn(60)
-        setDown([])
+        setStoreDown([])
         await churn(40)
         assert.equal(listHolders().length, 1)
-        assert.ok(findShortestTurn() >= TURN_MS, `turn of ${findShortestTurn()} ms`)
+        assert.ok(findShortestGapAtServer() >= TURN_MS, `gap of ${findShortestGapAtServer()} ms`)
       })
 
-      it(`keep the bound when an instance that gave its word is cut off and then reaches the store (${reachable})`, async () => {
-        setDown(nodes)
+      it(`keeps the minimum time when an instance that gave a grant is isolated and then regains the store (${reachable})`, async () => {
+        setStoreDown(nodes)
         await churn(15)
-        cutOff(nodes[reachable] as Node)
-        setDown(nodes.filter((_, at) => at !== reachable))
+        isolate(nodes[reachable] as Node)
+        setStoreDown(nodes.filter((_, at) => at !== reachable))
         await churn(60)
-        // It knows nothing of the newest orders, so that the bound holds between orders to any two servers.
-        assert.ok(findShortestChange() >= TURN_MS, `change after ${findShortestChange()} ms`)
+        // The isolated instance has no record of the latest orders, so the minimum time applies across all servers.
+        assert.ok(findShortestHandoverGap() >= TURN_MS, `handover after ${findShortestHandoverGap()} ms`)
       })
     }
 
-    it('let one that knows the newest orders take over from a holder that stopped, not the stopped one after its restart', async () => {
+    it('hands over to an instance with a record of the latest orders, not to the stopped holder', async () => {
       const first = nodes.find((node) => node.service.mayOrder) as Node
       await churn(5)
-      setDown(nodes)
+      setStoreDown(nodes)
       await churn(5)
       const stopping = first.service.stop()
       await churn(30)
       await stopping
       await churn(10)
-      setDown([])
+      setStoreDown([])
       await clock.advance(1_500)
       const [second] = listHolders()
       assert.ok(second !== undefined && second !== first.name)
     })
 
-    it('leave the lease in a planned stop', async () => {
+    it('releases the lease in a planned stop', async () => {
       const first = nodes.find((node) => node.service.mayOrder) as Node
-      setDown(nodes)
+      setStoreDown(nodes)
       await churn(15)
       const stopping = first.service.stop()
       await churn(40)
       await stopping
       first.ended.abort()
-      setDown([])
+      setStoreDown([])
       await churn(40)
       assert.ok(nodes.some((node) => node !== first && node.service.mayOrder))
-      assert.ok(findShortestTurn() >= TURN_MS, `turn of ${findShortestTurn()} ms`)
+      assert.ok(findShortestGapAtServer() >= TURN_MS, `gap of ${findShortestGapAtServer()} ms`)
     })
   })
 
-  it('take over from a holder that falls silent as soon as the bound allows, counted from its last word', async () => {
+  it('replaces an unresponsive holder as soon as the lease time since its last heartbeat allows', async () => {
     const first = nodes.find((node) => node.service.mayOrder) as Node
     await churn(5)
     first.ended.abort()
-    first.store.isCut = true
-    // Life of the lease, drift, and the delay of an order twice; instances look every third of a second.
+    first.store.isUnresponsive = true
+    // Lease time with clock drift, and twice the order delay; instances check every third of a second.
     await churn(Math.ceil((LEASE_MS * 1.05 + 2 * DELAY_MS + 500) / 200))
     assert.ok(nodes.some((node) => node !== first && node.service.mayOrder))
-    assert.ok(findShortestTurn() >= TURN_MS, `turn of ${findShortestTurn()} ms`)
+    assert.ok(findShortestGapAtServer() >= TURN_MS, `gap of ${findShortestGapAtServer()} ms`)
   })
 
-  it('never order a server over its memory', async () => {
+  it('never exceeds a server\'s memory', async () => {
     for (let round = 0; round < 40; round++) {
-      for (const node of nodes) void ask(node, 'abcd'[round % 4] as string)
+      for (const node of nodes) void requestModel(node, 'abcd'[round % 4] as string)
       await clock.advance(150)
     }
     assert.equal(servers.overcommitted, false)
@@ -286,25 +286,26 @@
   servers: RecordingServers
   shared: MemoryObjectStore
   hub: FakeHub
-  /** Instances that live, and all that may. */
+  /** Live instances. */
   listNames: () => string[]
+  /** All instances that may exist. */
   listAll: () => string[]
   readCapacity: (instance: string) => number
-  /** Milliseconds after which an instance notices that the store is down. */
-  readNoticeMs: () => number
+  /** Milliseconds after which an instance detects that the store is lost. */
+  readDetectionMs: () => number
 }
 
 function createNode (name: string, it: NodeParts): Node {
   const { clock, servers } = it
   const fleet = new BackendFleet()
   const refresh = (): void => {
-    for (const [id, held] of servers.held) {
-      const models = [...held.models].map((model) => ({ name: model, adapters: [] }))
+    for (const [id, server] of servers.stateById) {
+      const models = [...server.models].map((model) => ({ name: model, adapters: [] }))
       fleet.put({ id, service: 's', address: `${id}:1`, dataHall: 'z', slots: 8, draining: false, models, inMemory: [], onDisk: [] })
     }
   }
   refresh()
-  const store = new CuttableStore(it.shared)
+  const store = new FailingStore(it.shared)
   let operations = 0
   const createOperation = (): string => `${name}-${operations++}`
   const lease = new ShardLease({ clock, store, shard: 'x', holder: `${name}@1`, leaseMs: LEASE_MS, orderDelayMs: DELAY_MS, createOperation })
@@ -316,8 +317,8 @@
     clock,
     network,
     listOthers: () => it.listAll().filter((other) => other !== name),
-    readStoreLostMs: () => store.refusesSince === undefined ? 0 : Math.max(0, clock.readTime() - store.refusesSince - it.readNoticeMs()),
-    readStoreAgeMs: () => store.refusesSince === undefined ? 0 : clock.readTime() - store.refusesSince,
+    readStoreLostMs: () => store.unavailableSince === undefined ? 0 : Math.max(0, clock.readTime() - store.unavailableSince - it.readDetectionMs()),
+    readStoreAgeMs: () => store.unavailableSince === undefined ? 0 : clock.readTime() - store.unavailableSince,
     turnMs: TURN_MS,
     isEnabled: true,
   })
--- a/placement/residency/test/channels.test.ts
+++ b/placement/residency/test/channels.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import { HANDOVER, WEIGHTS } from '../src/channels.js'
+import { HANDOVER, WEIGHTS_CHANGE } from '../src/channels.js'
 
-describe('what the holder tells only once', () => {
-  it('is sent whatever waits on a link', () => {
-    for (const channel of [HANDOVER, WEIGHTS]) assert.equal(channel.isOnce, true, channel.name)
+describe('messages that the holder sends only once', () => {
+  it('are not dropped when a link is congested', () => {
+    for (const channel of [HANDOVER, WEIGHTS_CHANGE]) assert.equal(channel.isOnce, true, channel.name)
   })
 })
--- a/placement/residency/test/loadAdapter.test.ts
+++ b/placement/residency/test/loadAdapter.test.ts
@@ -18,13 +18,13 @@
   models: [{ name: 'm', weightsMb: 60, adapterMb: 1, adapters: 4, loadSeconds: 0.1, diskSeconds: 0.1, memorySeconds: 0.1 }],
 }
 
-/** One server that unloads an adapter only when the requests that use it have ended. */
+/** A server that unloads an adapter only when the requests that use it have ended. */
 class BusyServer extends WeightsClient {
   readonly adapters = new Set(['a1', 'a2'])
   private sequence = 0
   overcommitted = false
   /** Monotone time until which requests use the adapters. */
-  usedUntil = 0
+  inUseUntil = 0
 
   constructor (private readonly clock: ManualClock) {
     super()
@@ -42,16 +42,16 @@
       this.adapters.add(adapter)
       return ok(OrderAnswers.TAKEN)
     }
-    if (this.clock.readTime() >= this.usedUntil) {
+    if (this.clock.readTime() >= this.inUseUntil) {
       this.adapters.delete(adapter)
       return ok(OrderAnswers.HOLDS)
     }
-    void this.clock.wait(this.usedUntil - this.clock.readTime()).then(() => this.adapters.delete(adapter))
+    void this.clock.wait(this.inUseUntil - this.clock.readTime()).then(() => this.adapters.delete(adapter))
     return ok(OrderAnswers.TAKEN)
   }
 }
 
-describe('loading an adapter at a server whose places are taken', () => {
+describe('loadAdapter on a server without a free adapter slot', () => {
   let clock: ManualClock
   let server: BusyServer
 
@@ -75,20 +75,20 @@
     server = new BusyServer(clock)
   })
 
-  it('drops the one that nobody has asked for in the longest time', async () => {
+  it('unloads the least recently used adapter', async () => {
     assert.equal(await load('a3'), true)
     assert.deepEqual([...server.adapters].sort(), ['a2', 'a3'])
     assert.equal(server.overcommitted, false)
   })
 
-  it('waits until the server itself says that a used one has gone', async () => {
-    server.usedUntil = clock.readTime() + 1_500
+  it('waits until the server reports that an adapter in use has been unloaded', async () => {
+    server.inUseUntil = clock.readTime() + 1_500
     assert.equal(await load('a3'), true)
     assert.equal(server.overcommitted, false)
   })
 
-  it('loads nothing when the place does not come free in time', async () => {
-    server.usedUntil = clock.readTime() + 60_000
+  it('does not load the adapter when no slot is freed before the timeout', async () => {
+    server.inUseUntil = clock.readTime() + 60_000
     assert.equal(await load('a3'), false)
     assert.equal(server.overcommitted, false)
   })
--- a/placement/residency/test/memory.test.ts
+++ b/placement/residency/test/memory.test.ts
@@ -12,22 +12,22 @@
   models: ['a', 'b'].map((name) => ({ name, weightsMb: 60, adapterMb: 4, adapters: 9, loadSeconds: 4, diskSeconds: 0.8, memorySeconds: 0.4 })),
 }
 
-describe('the memory of a model server', () => {
-  it('holds models, their adapters, and adapters on their way', () => {
+describe('memory of a model server', () => {
+  it('is used by models, their adapters and pending adapters', () => {
     assert.equal(computeUsedMb(SERVING, { models: [{ name: 'a', adapters: ['x', 'y'] }], comingAdapters: ['a/z@1'] }), 60 + 3 * 4)
   })
 
-  it('has no room for a model beside adapters that take its place', () => {
+  it('has no room for a model when adapters occupy too much', () => {
     assert.equal(hasRoom(SERVING, { models: [{ name: 'a', adapters: ['x', 'y'] }], comingAdapters: [] }, 'b', false), true)
     assert.equal(hasRoom(SERVING, { models: [{ name: 'a', adapters: ['x', 'y', 'z'] }], comingAdapters: [] }, 'b', false), false)
   })
 
-  it('has no room for an adapter where models leave none', () => {
+  it('has no room for an adapter when models occupy too much', () => {
     const state = { models: [{ name: 'a', adapters: ['x'] }, { name: 'b', adapters: ['y'] }], comingAdapters: [] }
     assert.equal(hasRoom(SERVING, state, 'a', true), false)
   })
 
-  it('has no room for or beside a model of unknown size', () => {
+  it('has no room for a model of unknown size, or next to one', () => {
     assert.equal(hasRoom(SERVING, { models: [{ name: 'foreign', adapters: [] }], comingAdapters: [] }, 'a', true), false)
     assert.equal(hasRoom(SERVING, { models: [], comingAdapters: [] }, 'foreign', false), false)
   })
