--- a/routing/claims/src/ClaimEntry.ts
+++ b/routing/claims/src/ClaimEntry.ts
@@ -1,21 +1,21 @@
-/** The answer that a repeat of a request gets. */
+/** The response stored for repeats of a request. */
 export interface KeptOutcome {
   status: number
   contentType: string
-  /** Undefined when it was too large to keep. */
+  /** Undefined when it was too large to store. */
   body?: string
 }
 
-/** One line of a claim log. A later entry of a key changes what earlier ones said. */
+/** One entry of a claim log; the entries of a key apply in order. Times are wall times in milliseconds. */
 export type ClaimEntry =
   | { kind: 'claim', key: string, hash: string, request: string, instance: string, at: number }
   | { kind: 'outcome', key: string, request: string, outcome: KeptOutcome, at: number }
   | { kind: 'release', key: string, request: string, at: number }
 
-/** What an instance asks before it sends work that may not be repeated. */
+/** Request for a key, made before a non-repeatable request is sent. */
 export interface ClaimRequest {
   key: string
-  /** Hash of method, path and body, by which another request under the same key is told apart. */
+  /** Hash of method, path and body; detects a different request with the same key. */
   hash: string
   request: string
   instance: string
@@ -26,8 +26,8 @@
   | { kind: 'repeat', instance: string, request: string, outcome?: KeptOutcome }
   | { kind: 'mismatch' }
 
-/** State of one key. */
-export interface HeldClaim {
+/** Current state of one claimed key. */
+export interface ClaimState {
   hash: string
   request: string
   instance: string
--- a/routing/claims/src/ClaimIndex.ts
+++ b/routing/claims/src/ClaimIndex.ts
@@ -1,38 +1,38 @@
-import type { ClaimDecision, ClaimEntry, ClaimRequest, HeldClaim } from './ClaimEntry.js'
+import type { ClaimDecision, ClaimEntry, ClaimRequest, ClaimState } from './ClaimEntry.js'
 
-/** What a claim log says, by key. */
+/** The claims of a claim log by key. */
 export class ClaimIndex {
-  private readonly claims = new Map<string, HeldClaim>()
+  private readonly claims = new Map<string, ClaimState>()
 
   get size (): number {
     return this.claims.size
   }
 
   apply (entry: ClaimEntry): void {
-    const held = this.claims.get(entry.key)
+    const claim = this.claims.get(entry.key)
     if (entry.kind === 'claim') {
-      if (!held) this.claims.set(entry.key, { hash: entry.hash, request: entry.request, instance: entry.instance, at: entry.at })
+      if (!claim) this.claims.set(entry.key, { hash: entry.hash, request: entry.request, instance: entry.instance, at: entry.at })
       return
     }
-    // An entry of an earlier holder that comes late must not touch the present one.
-    if (held?.request !== entry.request) return
-    if (entry.kind === 'outcome') held.outcome = entry.outcome
-    else if (!held.outcome) this.claims.delete(entry.key)
+    // A delayed entry of an earlier request must not change the current claim.
+    if (claim?.request !== entry.request) return
+    if (entry.kind === 'outcome') claim.outcome = entry.outcome
+    else if (!claim.outcome) this.claims.delete(entry.key)
   }
 
-  /** What a request for a key gets now; undefined when the key is free. */
+  /** Decides a request from the recorded claims; undefined when the key is free. */
   decide (request: ClaimRequest): ClaimDecision | undefined {
-    const held = this.claims.get(request.key)
-    if (!held) return undefined
-    if (held.hash !== request.hash) return { kind: 'mismatch' }
-    if (held.request === request.request && !held.outcome) return { kind: 'granted' }
-    return { kind: 'repeat', instance: held.instance, request: held.request, outcome: held.outcome }
+    const claim = this.claims.get(request.key)
+    if (!claim) return undefined
+    if (claim.hash !== request.hash) return { kind: 'mismatch' }
+    if (claim.request === request.request && !claim.outcome) return { kind: 'granted' }
+    return { kind: 'repeat', instance: claim.instance, request: claim.request, outcome: claim.outcome }
   }
 
-  /** Forgets claims made before a wall time. Keys stand in the order of their claims. */
+  /** Deletes claims made before a wall time in milliseconds; the map lists them in the order of claiming. */
   dropBefore (wallTime: number): void {
-    for (const [key, held] of this.claims) {
-      if (held.at >= wallTime) return
+    for (const [key, claim] of this.claims) {
+      if (claim.at >= wallTime) return
       this.claims.delete(key)
     }
   }
--- a/routing/claims/src/ClaimLog.ts
+++ b/routing/claims/src/ClaimLog.ts
@@ -9,9 +9,9 @@
   clock: Clock
   store: ObjectStore
   shard: number
-  /** Entries older than this are forgotten. */
+  /** Milliseconds after which entries are deleted. */
   keepMs: number
-  /** Makes ids by which a write whose answer was lost is recognised. */
+  /** Creates the id by which a write with a lost response is recognized when it is read back. */
   createOperation: () => string
 }
 
@@ -23,16 +23,16 @@
   operation: string
 }
 
-// A segment is closed by its size alone, so that every writer of the shard agrees where the next one begins.
-const CLOSED_BYTES = 32 << 10
+// The size alone closes a segment, so that all writers agree on where the next one begins.
+const FULL_SEGMENT_BYTES = 32 << 10
 const MAX_BATCH_BYTES = 600 << 10
-// After this long without contact the log looks whether somebody else wrote or removed segments.
-const TRUST_MS = 30_000
+// Time without a read or write of the store after which the open segment's version is checked again.
+const RECHECK_INTERVAL_MS = 30_000
 
 /**
- * The log of one claim shard: numbered segments in the object API. The open segment is extended by conditional update
- * and the next one is only created when it is full, so that two writers with different views always collide on one
- * object, and the loser reads on. Safety rests on nothing else.
+ * The log of one claim shard: numbered segments in the object API. The open segment is extended by conditional updates,
+ * and the next one is created only when it is full. Concurrent writers therefore always conflict on the same object, and
+ * the one that fails loads the log again.
  */
 export class ClaimLog {
   readonly index = new ClaimIndex()
@@ -46,14 +46,14 @@
     return this.open !== undefined
   }
 
-  /** Forgets what is known, so that the next use reads the log anew. */
+  /** Clears the loaded state, so that the next use loads the log again. */
   unload (): void {
     this.open = undefined
     this.index.clear()
     this.closed = []
   }
 
-  /** Reads the whole log. */
+  /** Reads the whole log; fails with the store's error. */
   async load (): Promise<Result<void, PulleystackError>> {
     const listing = await this.opts.store.listObjects(this.buildPrefix())
     if (listing.isErr()) return err(listing.error)
@@ -61,16 +61,16 @@
     const segments = listing.value.objects.map(parseSegment).sort((a, b) => a.seq - b.seq)
     for (const segment of segments) segment.entries.forEach((entry) => this.index.apply(entry))
     this.open = segments.pop() ?? createSegment(1)
-    this.closed = segments.map(({ seq, version, entries }) => ({ seq, version, newestAt: findNewest(entries) }))
+    this.closed = segments.map(({ seq, version, entries }) => ({ seq, version, newestAt: findNewestTime(entries) }))
     this.checkedAt = this.opts.clock.readTime()
     this.index.dropBefore(this.opts.clock.readWallTime() - this.opts.keepMs)
     return ok(undefined)
   }
 
-  /** Loads the log, or makes sure that what was loaded is still its end. */
+  /** Loads the log if it is not loaded or another writer has changed the open segment. */
   async ensureLoaded (): Promise<Result<void, PulleystackError>> {
     if (!this.open) return this.load()
-    if (this.opts.clock.readTime() - this.checkedAt < TRUST_MS) return ok(undefined)
+    if (this.opts.clock.readTime() - this.checkedAt < RECHECK_INTERVAL_MS) return ok(undefined)
     const read = await this.opts.store.readObject(this.buildKey(this.open.seq))
     if (read.isErr()) return err(read.error)
     if ((read.value?.version ?? 0) !== this.open.version) return this.load()
@@ -79,13 +79,13 @@
   }
 
   /**
-   * Writes entries with one conditional update. STORE_CONFLICT means that somebody else wrote and the log must be
-   * loaded again; STORE_OUTCOME_UNKNOWN that not even reading back told whether they stand.
+   * Writes entries with one conditional update. Fails with STORE_CONFLICT when another writer changed the log, or with
+   * STORE_OUTCOME_UNKNOWN when reading back could not tell whether the entries were written. Any failure unloads the log.
    */
   async append (entries: readonly ClaimEntry[]): Promise<Result<void, PulleystackError>> {
-    const before = this.open
-    if (!before) return err(new PulleystackError('STORE_CONFLICT', 'The claim log is not loaded'))
-    const target = before.bytes >= CLOSED_BYTES ? createSegment(before.seq + 1) : before
+    const current = this.open
+    if (!current) return err(new PulleystackError('STORE_CONFLICT', 'The claim log is not loaded'))
+    const target = current.bytes >= FULL_SEGMENT_BYTES ? createSegment(current.seq + 1) : current
     const operation = this.opts.createOperation()
     const next = extendSegment(target, entries, operation)
     const written = await this.write(next, target.version)
@@ -93,24 +93,24 @@
       this.unload()
       return err(written.error)
     }
-    if (target !== before) this.closed.push({ seq: before.seq, version: before.version, newestAt: findNewest(before.entries) })
+    if (target !== current) this.closed.push({ seq: current.seq, version: current.version, newestAt: findNewestTime(current.entries) })
     this.open = { ...next, version: written.value }
     this.checkedAt = this.opts.clock.readTime()
     entries.forEach((entry) => this.index.apply(entry))
     return ok(undefined)
   }
 
-  /** Removes at most one segment that holds nothing but forgotten entries. The newest segment always stays. */
+  /** Deletes expired claims from memory, and at most one closed segment of which all entries have expired. */
   async dropExpired (): Promise<void> {
-    const limit = this.opts.clock.readWallTime() - this.opts.keepMs
-    this.index.dropBefore(limit)
+    const cutoff = this.opts.clock.readWallTime() - this.opts.keepMs
+    this.index.dropBefore(cutoff)
     const oldest = this.closed[0]
-    if (!oldest || oldest.newestAt >= limit) return
+    if (!oldest || oldest.newestAt >= cutoff) return
     this.closed.shift()
     await this.opts.store.deleteObject(this.buildKey(oldest.seq), oldest.version)
   }
 
-  /** How many entries one batch may have. */
+  /** Removes and returns the first pending items, until their size reaches the batch limit. */
   static takeBatch<T> (pending: T[], measure: (item: T) => number): T[] {
     let bytes = 0
     let count = 0
@@ -128,12 +128,12 @@
 
   private async readBack (key: string, operation: string, expectedVersion: number): Promise<Result<number, PulleystackError>> {
     const read = await this.opts.store.readObject(key)
-    if (read.isErr()) return err(new PulleystackError('STORE_OUTCOME_UNKNOWN', 'Whether claims were written is not known', { cause: read.error }))
-    const standing = read.value
-    if (standing && (standing.value as Segment).operation === operation) return ok(standing.version)
-    // The version is as before, but the write may still be on its way to the store.
-    if ((standing?.version ?? 0) === expectedVersion) return err(new PulleystackError('STORE_OUTCOME_UNKNOWN', 'A write of claims was lost or is late'))
-    return err(new PulleystackError('STORE_CONFLICT', 'Another writer was faster'))
+    if (read.isErr()) return err(new PulleystackError('STORE_OUTCOME_UNKNOWN', 'Reading back could not tell whether the claims were written', { cause: read.error }))
+    const stored = read.value
+    if (stored && (stored.value as Segment).operation === operation) return ok(stored.version)
+    // The version is unchanged, but the store may still receive the write.
+    if ((stored?.version ?? 0) === expectedVersion) return err(new PulleystackError('STORE_OUTCOME_UNKNOWN', 'The write of the claims was lost or is delayed'))
+    return err(new PulleystackError('STORE_CONFLICT', 'Another writer changed the claim log'))
   }
 
   private buildPrefix (): string {
@@ -159,6 +159,6 @@
   return { ...value, seq: Number(object.key.slice(object.key.lastIndexOf('/') + 1)), version: object.version }
 }
 
-function findNewest (entries: readonly ClaimEntry[]): number {
+function findNewestTime (entries: readonly ClaimEntry[]): number {
   return entries.reduce((newest, entry) => Math.max(newest, entry.at), 0)
 }
--- a/routing/claims/src/ClaimShard.ts
+++ b/routing/claims/src/ClaimShard.ts
@@ -9,7 +9,7 @@
   store: ObjectStore
   shard: number
   keepMs: number
-  /** Commits a second that this shard may make when it is busy; a single claim goes at once. */
+  /** Maximum sustained commits per second; a short burst is not delayed. */
   commitsPerSecond: number
   createOperation: () => string
 }
@@ -27,19 +27,19 @@
 
 type Pending = PendingClaim | PendingEntry
 
-const BURST = 4
-const RETRY_MS = 100
+const BURST_COMMITS = 4
+const RETRY_DELAY_MS = 100
 
 /**
- * Commits the claims of one shard in groups: whatever came while one write was on its way goes with the next. The
- * writes a second so depend on the number of shards, not of requests.
+ * Commits the claims of one shard in batches: claims that arrive during a write go into the next one. The write rate
+ * therefore depends on the number of shards, not of requests.
  */
 export class ClaimShard {
   commits = 0
   private readonly log: ClaimLog
   private pending: Pending[] = []
   private running = false
-  private tokens = BURST
+  private tokens = BURST_COMMITS
   private refilledAt: number
 
   constructor (private readonly opts: ClaimShardOptions) {
@@ -52,8 +52,8 @@
   }
 
   /**
-   * Asks for a key. Granted only after the claim stands in the object API; CLAIM_UNAVAILABLE at the deadline,
-   * after which the caller must not send and should release the key.
+   * Claims a key; resolves with a grant only after the claim is written to the object API. Rejects with CLAIM_UNAVAILABLE
+   * at the deadline; the caller then must not send the request and should release the key.
    */
   claim (request: ClaimRequest, deadline: number): Promise<ClaimDecision> {
     const known = this.log.index.decide(request)
@@ -64,13 +64,13 @@
     })
   }
 
-  /** Adds an outcome or a release; it is written with the next group. */
+  /** Adds an outcome or a release, written with the next batch. */
   add (entry: ClaimEntry): void {
     this.pending.push({ entry })
     void this.run()
   }
 
-  /** Another instance owns the shard now; what is known here may grow old. */
+  /** Unloads the log when another instance has become the owner, unless a commit is running. */
   unload (): void {
     if (!this.running) this.log.unload()
   }
@@ -79,54 +79,54 @@
     if (this.running) return
     this.running = true
     try {
-      while (this.pending.length > 0) await this.commitGroup()
+      while (this.pending.length > 0) await this.writeBatch()
     } finally {
       this.running = false
     }
   }
 
-  private async commitGroup (): Promise<void> {
-    await this.waitForTurn()
+  private async writeBatch (): Promise<void> {
+    await this.waitForRateLimit()
     const loaded = await this.log.ensureLoaded()
     if (loaded.isErr()) {
-      await this.pause()
+      await this.waitBeforeRetry()
       return
     }
-    this.expireLate()
-    const group = ClaimLog.takeBatch(this.pending, measurePending)
-    const entries = this.collectEntries(group)
+    this.expireOverdue()
+    const batch = ClaimLog.takeBatch(this.pending, estimateBytes)
+    const entries = this.collectEntries(batch)
     if (entries.length === 0) return
     const appended = await this.log.append(entries)
     if (appended.isErr()) {
-      await this.putBack(group, appended.error)
+      await this.putBack(batch, appended.error)
       return
     }
     this.commits++
-    this.settleGroup(group)
+    this.settleBatch(batch)
     await this.log.dropExpired()
   }
 
-  /** Answers what the log already decides and gives the entries that must be written. */
-  private collectEntries (group: Pending[]): ClaimEntry[] {
+  /** Resolves the claims that the log already decides; returns the entries to write. */
+  private collectEntries (batch: Pending[]): ClaimEntry[] {
     const entries: ClaimEntry[] = []
-    const taken = new Set<string>()
-    for (const item of group) {
+    const claimedKeys = new Set<string>()
+    for (const item of batch) {
       if ('entry' in item) {
         entries.push(item.entry)
         continue
       }
       const known = this.log.index.decide(item.request)
       if (known) item.resolve(known)
-      else if (!taken.has(item.request.key)) {
-        taken.add(item.request.key)
+      else if (!claimedKeys.has(item.request.key)) {
+        claimedKeys.add(item.request.key)
         entries.push({ kind: 'claim', at: this.opts.clock.readWallTime(), ...item.request })
       }
     }
     return entries
   }
 
-  private settleGroup (group: Pending[]): void {
-    for (const item of group) {
+  private settleBatch (batch: Pending[]): void {
+    for (const item of batch) {
       if (!('request' in item)) continue
       const decision = this.log.index.decide(item.request)
       if (decision) item.resolve(decision)
@@ -134,41 +134,41 @@
     }
   }
 
-  private async putBack (group: Pending[], error: PulleystackError): Promise<void> {
-    this.pending.unshift(...group)
-    if (error.code !== 'STORE_CONFLICT') await this.pause()
+  private async putBack (batch: Pending[], error: PulleystackError): Promise<void> {
+    this.pending.unshift(...batch)
+    if (error.code !== 'STORE_CONFLICT') await this.waitBeforeRetry()
   }
 
-  private async pause (): Promise<void> {
-    this.expireLate()
-    if (this.pending.length > 0) await this.opts.clock.wait(RETRY_MS)
-    this.expireLate()
+  private async waitBeforeRetry (): Promise<void> {
+    this.expireOverdue()
+    if (this.pending.length > 0) await this.opts.clock.wait(RETRY_DELAY_MS)
+    this.expireOverdue()
   }
 
-  private expireLate (): void {
+  private expireOverdue (): void {
     const now = this.opts.clock.readTime()
-    const isLate = (item: Pending): item is PendingClaim => 'request' in item && item.deadline <= now
-    for (const item of this.pending.filter(isLate)) item.reject(createUnavailable())
-    this.pending = this.pending.filter((item) => !isLate(item))
+    const isOverdue = (item: Pending): item is PendingClaim => 'request' in item && item.deadline <= now
+    for (const item of this.pending.filter(isOverdue)) item.reject(createUnavailableError())
+    this.pending = this.pending.filter((item) => !isOverdue(item))
   }
 
-  private async waitForTurn (): Promise<void> {
+  private async waitForRateLimit (): Promise<void> {
     const { clock, commitsPerSecond } = this.opts
     const now = clock.readTime()
-    this.tokens = Math.min(BURST, this.tokens + (now - this.refilledAt) / 1000 * commitsPerSecond)
+    this.tokens = Math.min(BURST_COMMITS, this.tokens + (now - this.refilledAt) / 1000 * commitsPerSecond)
     this.refilledAt = now
     this.tokens -= 1
     if (this.tokens < 0) await clock.wait(-this.tokens / commitsPerSecond * 1000)
   }
 }
 
-function measurePending (item: Pending): number {
+function estimateBytes (item: Pending): number {
   return 'entry' in item && item.entry.kind === 'outcome' ? (item.entry.outcome.body?.length ?? 0) * 2 + 300 : 300
 }
 
-function createUnavailable (): PulleystackError {
+function createUnavailableError (): PulleystackError {
   return new PulleystackError('CLAIM_UNAVAILABLE', 'The claim could not be written before the deadline, so the request was not sent', {
     retryAfterSeconds: 5,
-    hint: 'Ask again with the same Idempotency-Key.',
+    hint: 'Retry with the same Idempotency-Key.',
   })
 }
