--- a/routing/forward/src/EventSplitter.ts
+++ b/routing/forward/src/EventSplitter.ts
@@ -2,40 +2,40 @@
 const CARRIAGE_RETURN = 13
 const ID_FIELD = /(?:^|\n)id: ?([^\r\n]*)/
 
-/** One event of a stream, its bytes as the server sent them. */
+/** One server-sent event, with its bytes as received. */
 export interface StreamEvent {
   bytes: Buffer
-  /** Undefined when the event has none. */
+  /** Undefined when the event has no id field. */
   id: string | undefined
 }
 
-/** Takes the bytes of a stream of server-sent events apart; an event is given out once its blank line has come. */
+/** Splits a stream of server-sent events; an event ends with its blank line. */
 export class EventSplitter {
-  private rest: Buffer = Buffer.alloc(0)
+  private remainder: Buffer = Buffer.alloc(0)
 
-  /** Bytes of an event that has not ended. */
+  /** Number of buffered bytes of an incomplete event. */
   get pendingBytes (): number {
-    return this.rest.length
+    return this.remainder.length
   }
 
-  /** Gives the events that end in this chunk. */
+  /** Returns the events that are completed by this chunk. */
   push (chunk: Buffer): StreamEvent[] {
-    const bytes = this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk])
+    const bytes = this.remainder.length === 0 ? chunk : Buffer.concat([this.remainder, chunk])
     const events: StreamEvent[] = []
     let start = 0
     for (let end = findEventEnd(bytes, start); end > 0; end = findEventEnd(bytes, start)) {
       events.push(createEvent(bytes.subarray(start, end)))
       start = end
     }
-    this.rest = bytes.subarray(start)
+    this.remainder = bytes.subarray(start)
     return events
   }
 
-  /** What is left after the last whole event, as at the end of a stream. */
+  /** Removes and returns the bytes after the last complete event. */
   takeRest (): Buffer {
-    const { rest } = this
-    this.rest = Buffer.alloc(0)
-    return rest
+    const { remainder } = this
+    this.remainder = Buffer.alloc(0)
+    return remainder
   }
 }
 
@@ -43,7 +43,7 @@
   return { bytes, id: ID_FIELD.exec(bytes.toString('latin1'))?.[1] }
 }
 
-/** Index behind the blank line that ends the event which begins at `start`; 0 when it has not come. */
+/** Index after the blank line that ends the event starting at `start`; 0 when the event is incomplete. */
 function findEventEnd (bytes: Buffer, start: number): number {
   for (let at = bytes.indexOf(LINE_FEED, start); at >= 0; at = bytes.indexOf(LINE_FEED, at + 1)) {
     if (bytes[at + 1] === LINE_FEED) return at + 2
--- a/routing/forward/src/ExchangeAnswer.ts
+++ b/routing/forward/src/ExchangeAnswer.ts
@@ -3,7 +3,7 @@
 import type { AnswerFacts } from '@pulleystack/backend.interfaces'
 import { PulleystackError, Ran } from '@pulleystack/core.errors'
 
-/** An answer whose head has come and is the server's own; the body follows. */
+/** A response whose head has been received; the body can be read from it. */
 export class ExchangeAnswer {
   readonly facts: AnswerFacts
   private readonly request: http.ClientRequest
@@ -14,8 +14,8 @@
     this.facts = opts.facts
     this.request = opts.request
     this.message = opts.message
-    // An answer without length that is reset is not whole, although Node ends its body as if it were. Bytes that come
-    // after a whole answer are no part of it and fail only the connection.
+    // Node ends the body of a response without a length normally even when the connection was reset. An error after a
+    // complete response, as from surplus bytes, concerns only the connection.
     opts.request.on('error', (cause) => {
       if (!this.message.complete) this.failure = cause
     })
@@ -23,8 +23,8 @@
   }
 
   /**
-   * When a reset arrives together with bytes, libuv reports the end of the stream and not the reset; the connection then
-   * has no peer any more, which one that was closed in good order still has.
+   * Detects a connection reset that libuv reports as the end of the stream, as it does when data arrives with the reset.
+   * Only a connection that was closed normally still has a remote address.
    */
   private watchEnd (socket: Socket): void {
     socket.prependOnceListener('end', () => {
@@ -40,34 +40,34 @@
     return this.message.statusMessage ?? ''
   }
 
-  /** Names and values by turns, as the server sent them. */
+  /** Alternating header names and values, as received. */
   get rawHeaders (): readonly string[] {
     return this.message.rawHeaders
   }
 
-  /** Reads the whole body; rejects with ATTEMPT_FAILED_UNKNOWN when it breaks off or is too large. */
+  /** Reads the whole body; rejects with ATTEMPT_FAILED_UNKNOWN when it is incomplete or larger than `maxBytes`. */
   async readWhole (maxBytes: number): Promise<Buffer> {
     const chunks: Buffer[] = []
     let size = 0
     await this.read((chunk) => {
       size += chunk.length
-      if (size > maxBytes) throw createBroken(`The answer is larger than ${maxBytes} bytes`)
+      if (size > maxBytes) throw createBodyError(`The response body is larger than ${maxBytes} bytes`)
       chunks.push(chunk)
     })
     return Buffer.concat(chunks)
   }
 
   /**
-   * Gives the body's bytes as they come, and resolves at its end; rejects with ATTEMPT_FAILED_UNKNOWN when it breaks off.
-   * What `take` throws ends the connection and rejects.
+   * Passes each chunk of the body to `onChunk` and resolves at the end; rejects with ATTEMPT_FAILED_UNKNOWN when the body
+   * is incomplete. An error thrown by `onChunk` closes the connection and rejects.
    */
-  read (take: (chunk: Buffer) => void): Promise<void> {
+  read (onChunk: (chunk: Buffer) => void): Promise<void> {
     const { message } = this
     return new Promise((resolve, reject) => {
-      const fail = (cause: unknown): void => reject(cause instanceof PulleystackError ? cause : createBroken('The answer broke off', cause))
+      const fail = (cause: unknown): void => reject(cause instanceof PulleystackError ? cause : createBodyError('The response ended before it was complete', cause))
       message.on('data', (chunk: Buffer) => {
         try {
-          take(chunk)
+          onChunk(chunk)
         } catch (thrown) {
           this.cut()
           fail(thrown)
@@ -82,7 +82,7 @@
     })
   }
 
-  /** Holds the server back until `resume`. */
+  /** Stops reading, and so slows down the server, until `resume`. */
   pause (): void {
     this.message.pause()
   }
@@ -91,29 +91,29 @@
     this.message.resume()
   }
 
-  /** Lets the rest of the body pass unread, so that the connection can be used again. */
+  /** Reads and drops the rest of the body, so that the connection can be reused. */
   discard (): void {
     this.message.on('error', () => undefined)
     this.message.resume()
   }
 
   /**
-   * Ends the connection. What was not read is lost, also when it has all come: Node drops it and ends the body as if it had been read, which
-   * must not be taken for a whole answer.
+   * Closes the connection and marks the response as failed: Node drops the unread bytes but still ends the body normally,
+   * which would pass for a complete response.
    */
   cut (): void {
-    this.failure ??= new Error('The answer was cut')
+    this.failure ??= new Error('The response was aborted')
     this.message.on('error', () => undefined)
     this.request.on('error', () => undefined)
     this.request.destroy()
   }
 }
 
-/** Whether the answer's end is told by its head and not by its connection. */
+/** Whether the head determines where the body ends; otherwise it ends when the connection closes. */
 function isFramed (message: http.IncomingMessage): boolean {
   return message.headers['content-length'] !== undefined || message.headers['transfer-encoding'] !== undefined
 }
 
-function createBroken (message: string, cause?: unknown): PulleystackError {
+function createBodyError (message: string, cause?: unknown): PulleystackError {
   return new PulleystackError('ATTEMPT_FAILED_UNKNOWN', message, { cause, ran: Ran.UNKNOWN })
 }
--- a/routing/forward/src/ServerProbe.ts
+++ b/routing/forward/src/ServerProbe.ts
@@ -2,19 +2,19 @@
 import { parseAddress } from '@pulleystack/core.addresses'
 import type { Clock } from '@pulleystack/core.clock'
 
-/** A server in another data hall is connected to within a few milliseconds, unless its machine is gone. */
-const PROBE_MS = 300
+// Connecting takes a few milliseconds, also to another data hall, unless the machine is down.
+const CONNECT_TIMEOUT_MS = 300
 
-/** Tells servers that have ended from those that only broke a connection. Exchanges that one end cut share one connection attempt. */
+/** Checks whether a backend server is down or has only closed a connection. Concurrent checks of a server share one connection attempt. */
 export class ServerProbe {
   private readonly pending = new Map<string, Promise<boolean>>()
 
   constructor (private readonly clock: Clock) {}
 
-  /** Whether no connection comes up at an address any more. */
+  /** Whether a connection to the address fails or times out. */
   hasEnded (address: string): Promise<boolean> {
-    const present = this.pending.get(address)
-    if (present) return present
+    const existing = this.pending.get(address)
+    if (existing) return existing
     const probe = this.isUnreachable(address).finally(() => this.pending.delete(address))
     this.pending.set(address, probe)
     return probe
@@ -23,14 +23,13 @@
   private isUnreachable (address: string): Promise<boolean> {
     return new Promise((resolve) => {
       const socket = net.connect(parseAddress(address))
-      const finish = (isEnded: boolean) => (): void => {
+      const finish = (isDown: boolean) => (): void => {
         cancel()
         socket.destroy()
-        resolve(isEnded)
+        resolve(isDown)
       }
-      const cancel = this.clock.setTimer(PROBE_MS, finish(true))
+      const cancel = this.clock.setTimer(CONNECT_TIMEOUT_MS, finish(true))
       socket.once('connect', finish(false))
-      // What went wrong is the answer.
       socket.on('error', finish(true))
     })
   }
--- a/routing/forward/src/openExchange.ts
+++ b/routing/forward/src/openExchange.ts
@@ -6,63 +6,64 @@
 import type { BackendAgent } from './BackendAgent.js'
 import { ExchangeAnswer } from './ExchangeAnswer.js'
 
-/** One request as it goes to one backend server. */
+/** One request to one backend server. */
 export interface ExchangeOptions {
   agent: BackendAgent
   protocol: Pick<RoutedProtocol, 'readAnswer'>
   clock: Clock
   address: string
   method: string
-  /** Path and query, as the client sent them. */
+  /** Path and query, as received from the client. */
   path: string
-  /** Names and values by turns. */
+  /** Alternating names and values. */
   headers: readonly string[]
   body: Buffer | undefined
   requestId: string | undefined
-  /** Milliseconds within which a new connection must be up. */
+  /** Connection timeout in milliseconds. */
   connectMs: number
-  /** Ends the exchange and its connection. */
+  /** Aborts the exchange and closes its connection. */
   signal: AbortSignal
-  /** Takes what the head of an answer says, whatever becomes of the answer. */
+  /** Called for every response head, also for a response that is rejected afterwards. */
   onHead?: (facts: AnswerFacts) => void
 }
 
 /**
- * Sends one request and resolves with the checked head of its answer. Rejects with ATTEMPT_FAILED_NOT_RUN when no byte
- * left, BACKEND_REFUSED when the server says that it did not run it, ATTEMPT_FAILED_UNKNOWN for everything else.
+ * Sends one request and resolves with its response once the head has been checked. Rejects with ATTEMPT_FAILED_NOT_RUN
+ * when no byte was sent, BACKEND_REFUSED when the server reports that it did not run the request, and
+ * ATTEMPT_FAILED_UNKNOWN otherwise.
  */
 export function openExchange (opts: ExchangeOptions): Promise<ExchangeAnswer> {
   return new Promise((resolve, reject) => {
     const { host, port } = parseAddress(opts.address)
     const request = http.request({ host, port, agent: opts.agent, method: opts.method, path: opts.path, headers: [...opts.headers], setHost: false })
     const connection = watchConnection(opts, request)
-    let answer: ExchangeAnswer | undefined
-    const finish = (): void => {
+    let response: ExchangeAnswer | undefined
+    const release = (): void => {
       connection.stop()
       opts.signal.removeEventListener('abort', abort)
     }
     const abort = (): void => {
-      if (answer) answer.cut()
+      if (response) response.cut()
       else request.destroy()
-      finish()
-      reject(createFailure(connection.isUp(), 'The attempt was stopped', opts.signal.reason))
+      release()
+      reject(createFailure(connection.wasConnected(), 'The attempt was aborted', opts.signal.reason))
     }
     request.on('error', (cause) => {
-      finish()
-      reject(createFailure(connection.isUp(), cause.message, cause))
+      release()
+      reject(createFailure(connection.wasConnected(), cause.message, cause))
     })
     request.once('response', (message) => {
       connection.stop()
-      answer = new ExchangeAnswer({ request, message, facts: opts.protocol.readAnswer(message.statusCode ?? 0, message.headers) })
-      opts.onHead?.(answer.facts)
-      const problem = checkHead(answer.facts, opts.requestId)
-      message.once('close', finish)
+      response = new ExchangeAnswer({ request, message, facts: opts.protocol.readAnswer(message.statusCode ?? 0, message.headers) })
+      opts.onHead?.(response.facts)
+      const problem = checkHead(response.facts, opts.requestId)
+      message.once('close', release)
       if (!problem) {
-        resolve(answer)
+        resolve(response)
         return
       }
-      if (problem.ran === Ran.NO) answer.discard()
-      else answer.cut()
+      if (problem.ran === Ran.NO) response.discard()
+      else response.cut()
       reject(problem)
     })
     if (opts.signal.aborted) {
@@ -74,31 +75,31 @@
   })
 }
 
-/** Knows whether the connection came up, and ends a request whose connection does not. */
-function watchConnection (opts: ExchangeOptions, request: http.ClientRequest): { isUp: () => boolean, stop: () => void } {
-  let up = false
+/** Tracks whether the connection is established; destroys the request when that times out. */
+function watchConnection (opts: ExchangeOptions, request: http.ClientRequest): { wasConnected: () => boolean, stop: () => void } {
+  let isConnected = false
   let cancel = (): void => undefined
   request.once('socket', (socket) => {
-    up = !socket.connecting
-    if (up) return
-    cancel = opts.clock.setTimer(opts.connectMs, () => request.destroy(new Error(`No connection within ${opts.connectMs} ms`)))
+    isConnected = !socket.connecting
+    if (isConnected) return
+    cancel = opts.clock.setTimer(opts.connectMs, () => request.destroy(new Error(`No connection was established within ${opts.connectMs} ms`)))
     socket.once('connect', () => {
-      up = true
+      isConnected = true
       cancel()
     })
   })
-  return { isUp: () => up, stop: () => cancel() }
+  return { wasConnected: () => isConnected, stop: () => cancel() }
 }
 
-function createFailure (wasUp: boolean, message: string, cause: unknown): PulleystackError {
-  return new PulleystackError(wasUp ? 'ATTEMPT_FAILED_UNKNOWN' : 'ATTEMPT_FAILED_NOT_RUN', message, { cause })
+function createFailure (wasConnected: boolean, message: string, cause: unknown): PulleystackError {
+  return new PulleystackError(wasConnected ? 'ATTEMPT_FAILED_UNKNOWN' : 'ATTEMPT_FAILED_NOT_RUN', message, { cause })
 }
 
 function checkHead (facts: AnswerFacts, requestId: string | undefined): PulleystackError | undefined {
   if (requestId !== undefined && facts.requestId !== requestId) {
-    return new PulleystackError('ATTEMPT_FAILED_UNKNOWN', 'The answer on the connection belongs to another request')
+    return new PulleystackError('ATTEMPT_FAILED_UNKNOWN', 'The response belongs to another request')
   }
-  if (facts.notRun) return new PulleystackError('BACKEND_REFUSED', 'The server did not run the request', { ran: Ran.NO })
-  if (!facts.signed) return new PulleystackError('ATTEMPT_FAILED_UNKNOWN', 'The answer does not bear the server\'s signature')
+  if (facts.notRun) return new PulleystackError('BACKEND_REFUSED', 'The server rejected the request without running it', { ran: Ran.NO })
+  if (!facts.signed) return new PulleystackError('ATTEMPT_FAILED_UNKNOWN', 'The response is not signed by the server')
   return undefined
 }
--- a/routing/forward/test/EventSplitter.test.ts
+++ b/routing/forward/test/EventSplitter.test.ts
@@ -3,8 +3,8 @@
 import fc from 'fast-check'
 import { EventSplitter } from '../src/index.js'
 
-describe('a splitter of event streams', () => {
-  it('gives an event once its blank line has come, with its id', () => {
+describe('EventSplitter', () => {
+  it('returns an event with its id once its blank line has been received', () => {
     const splitter = new EventSplitter()
     assert.deepEqual(splitter.push(Buffer.from('id: 7\ndata: a')), [])
     const [event] = splitter.push(Buffer.from('\n\nid: 8\nda'))
@@ -13,12 +13,12 @@
     assert.equal(splitter.pendingBytes, 'id: 8\nda'.length)
   })
 
-  it('takes carriage returns and events without an id', () => {
+  it('accepts CRLF line ends and events without an id', () => {
     const events = new EventSplitter().push(Buffer.from('data: a\r\n\r\nid:9\r\ndata: b\r\n\r\n'))
     assert.deepEqual(events.map((event) => event.id), [undefined, '9'])
   })
 
-  it('loses and adds no byte, however the stream is cut into chunks', () => {
+  it('neither loses nor adds bytes for any split into chunks', () => {
     const line = fc.constantFrom('id: 1', 'data: x', 'data: ', ': note', '')
     fc.assert(fc.property(fc.array(line, { maxLength: 40 }), fc.array(fc.nat(200), { maxLength: 10 }), (lines, cuts) => {
       const bytes = Buffer.from(lines.join('\n'))
