--- a/routing/dispatch/src/Budgets.ts
+++ b/routing/dispatch/src/Budgets.ts
@@ -1,15 +1,15 @@
 import { RetryBudget } from '@pulleystack/routing.retries'
 
-/** The retry budget of each service. */
+/** Retry budgets by service. */
 export class Budgets {
   private readonly budgets = new Map<string, RetryBudget>()
 
   find (partner: string, service: string): RetryBudget {
-    const name = `${partner}/${service}`
-    const present = this.budgets.get(name)
-    if (present) return present
+    const key = `${partner}/${service}`
+    const existing = this.budgets.get(key)
+    if (existing) return existing
     const created = new RetryBudget()
-    this.budgets.set(name, created)
+    this.budgets.set(key, created)
     return created
   }
 }
--- a/routing/dispatch/src/DispatchOptions.ts
+++ b/routing/dispatch/src/DispatchOptions.ts
@@ -4,7 +4,7 @@
 import type { Budgets } from './Budgets.js'
 import type { Places } from './Places.js'
 
-/** What dispatchers share. */
+/** Options common to all dispatchers. */
 export interface DispatchOptions {
   clock: Clock
   random: RandomSource
@@ -14,16 +14,16 @@
   createId: () => string
 }
 
-/** What is the same in all requests. */
+/** Parameters common to all requests. */
 export interface RequestWork {
   request: string
   partner: string
   service: string
   serviceClass: ServiceClass
-  /** Monotone time. */
+  /** Monotonic time in milliseconds. */
   deadline: number
-  /** Whether it may run more than once. */
+  /** Whether the request may run more than once. */
   repeatable: boolean
-  /** Ends when the caller goes away. */
+  /** Aborted when the caller disconnects. */
   signal: AbortSignal
 }
--- a/routing/dispatch/src/EligibleRunners.ts
+++ b/routing/dispatch/src/EligibleRunners.ts
@@ -5,7 +5,7 @@
 import { InstanceRoles } from '@pulleystack/backend.interfaces'
 import type { Runner, RunnerTable } from '@pulleystack/routing.runners'
 
-/** The backend servers that each service's selectors allow; worked out anew when servers or configuration change. */
+/** The backend servers that each service's selectors allow. The lists are rebuilt when servers or configuration change. */
 export class EligibleRunners {
   private readonly cache = new Map<string, Runner[]>()
 
@@ -14,14 +14,14 @@
     opts.view.serverChanges.subscribe(() => this.cache.clear())
   }
 
-  /** Allowed servers that are not leaving. */
+  /** Lists the allowed servers that are not draining. */
   list (partner: string, service: string): readonly Runner[] {
-    const name = `${partner}/${service}`
-    const cached = this.cache.get(name)
+    const key = `${partner}/${service}`
+    const cached = this.cache.get(key)
     if (cached) return cached
-    const listed = this.select(partner, service)
-    this.cache.set(name, listed)
-    return listed
+    const runners = this.select(partner, service)
+    this.cache.set(key, runners)
+    return runners
   }
 
   private select (partner: string, service: string): Runner[] {
--- a/routing/dispatch/src/LatencyTracker.ts
+++ b/routing/dispatch/src/LatencyTracker.ts
@@ -4,29 +4,29 @@
   count: number
 }
 
-const EWMA_SHARE = 0.05
-const DEVIATIONS = 4
+const EWMA_WEIGHT = 0.05
+const SLOW_DEVIATIONS = 4
 const MIN_HEDGE_MS = 5
-const FIRST_HEDGE_MS = 250
-const LEAST_SAMPLES = 20
+const DEFAULT_HEDGE_MS = 250
+const MIN_SAMPLES = 20
 
-/** Knows from what time on an answer of a service is late. */
+/** Estimates from past latencies when a service's response counts as slow. */
 export class LatencyTracker {
   private readonly latencies = new Map<string, Latency>()
 
-  add (name: string, ms: number): void {
-    const held = this.latencies.get(name) ?? { meanMs: ms, deviationMs: ms / 2, count: 0 }
-    const difference = ms - held.meanMs
-    held.meanMs += difference * EWMA_SHARE
-    held.deviationMs += (Math.abs(difference) - held.deviationMs) * EWMA_SHARE
-    held.count++
-    this.latencies.set(name, held)
+  add (service: string, ms: number): void {
+    const latency = this.latencies.get(service) ?? { meanMs: ms, deviationMs: ms / 2, count: 0 }
+    const difference = ms - latency.meanMs
+    latency.meanMs += difference * EWMA_WEIGHT
+    latency.deviationMs += (Math.abs(difference) - latency.deviationMs) * EWMA_WEIGHT
+    latency.count++
+    this.latencies.set(service, latency)
   }
 
-  /** Milliseconds after which only a few in a hundred answers still come. */
-  estimateLate (name: string): number {
-    const held = this.latencies.get(name)
-    if (!held || held.count < LEAST_SAMPLES) return FIRST_HEDGE_MS
-    return Math.max(MIN_HEDGE_MS, held.meanMs + DEVIATIONS * held.deviationMs)
+  /** Milliseconds within which all but a few percent of the responses arrive. */
+  estimateSlowMs (service: string): number {
+    const latency = this.latencies.get(service)
+    if (!latency || latency.count < MIN_SAMPLES) return DEFAULT_HEDGE_MS
+    return Math.max(MIN_HEDGE_MS, latency.meanMs + SLOW_DEVIATIONS * latency.deviationMs)
   }
 }
--- a/routing/dispatch/src/Places.ts
+++ b/routing/dispatch/src/Places.ts
@@ -11,45 +11,46 @@
 import type { RequestWork } from './DispatchOptions.js'
 import type { EligibleRunners } from './EligibleRunners.js'
 
-/** Extra milliseconds to a server by where it stands. */
-const HopMs = { SAME_HALL: 0, SAME_REGION: 1, ELSEWHERE: 25 } as const
-// A tenth of the places stays free for lookups, where there are enough to divide.
-const LOOKUP_RESERVE = 0.1
-const LEAST_TO_DIVIDE = 4
-
-/** The right to have one request at one server; must be ended. */
+/** Additional milliseconds of network latency by a server's location. */
+const HopMs = { SAME_DATA_HALL: 0, SAME_REGION: 1, OTHER_REGION: 25 } as const
+// Part of a server's slots that work requests leave free for lookups.
+const LOOKUP_RESERVE_FRACTION = 0.1
+// Smaller limits are not divided between classes or partners.
+const MIN_DIVISIBLE_SLOTS = 4
+
+/** Permission for one request at one server; `end` must be called. */
 export interface Place {
   runner: Runner
-  /** The item that serves; undefined for plain services. */
+  /** The item that serves the request; undefined for plain services. */
   item: string | undefined
   startedAt: number
-  /** Blocks of the prompt that were not known to be cached there. */
+  /** Number of prompt blocks that were not known to be cached on the server. */
   missingBlocks: number
-  /** Gives the place back and teaches the runner's limiter. */
-  end: (outcome: PlaceOutcome) => void
+  /** Releases the slot and reports the outcome to the runner's limiter and statistics. */
+  end: (outcome: SlotOutcome) => void
 }
 
-export interface PlaceOutcome {
-  /** Tokens of a whole answer. */
+export interface SlotOutcome {
+  /** Number of tokens of a complete response. */
   tokens?: number
-  /** Milliseconds from sending to the first byte; undefined when none came. */
+  /** Milliseconds from sending to the first byte; undefined when none was received. */
   firstByteMs?: number
   failed: boolean
   overloaded?: boolean
 }
 
-export interface PlaceRequest extends RequestWork {
-  /** Items of which one must be ready, best first; undefined for plain services. */
+export interface SlotRequest extends RequestWork {
+  /** Items of which one must be ready, in order of preference; undefined for plain services. */
   items?: readonly string[]
   adapter?: string
   blocks: readonly number[]
-  /** Tokens still to generate; undefined for plain services. */
+  /** Number of tokens still to generate; undefined for plain services. */
   tokens?: number
-  /** Servers that failed this request already. */
+  /** Servers on which an attempt of this request has failed. */
   excluded: ReadonlySet<string>
 }
 
-export interface PlacesOptions {
+export interface SlotAllocatorOptions {
   clock: Clock
   random: RandomSource
   view: MembershipView
@@ -64,14 +65,14 @@
   runner: Runner
 }
 
-/** Hands out places at backend servers, through the queue where none is free. */
+/** Allocates slots at backend servers; requests wait in the queue while no slot is free. */
 export class Places {
-  constructor (private readonly opts: PlacesOptions) {}
+  constructor (private readonly opts: SlotAllocatorOptions) {}
 
-  /** Waits for a place; fails as the queue does, or at once with NO_RUNNER when no server could ever serve. */
-  async acquire (request: PlaceRequest): Promise<Place> {
+  /** Waits for a slot; rejects with the queue's errors, or immediately with NO_RUNNER when no server is eligible. */
+  async acquire (request: SlotRequest): Promise<Place> {
     if (this.opts.eligible.list(request.partner, request.service).length === 0) {
-      throw new PulleystackError('NO_RUNNER', `No backend server may serve "${request.service}"`, {
+      throw new PulleystackError('NO_RUNNER', `No backend server is eligible for "${request.service}"`, {
         hint: 'Check the service\'s selectors against the servers\' labels (pulleystack explain).',
         retryAfterSeconds: 5,
       })
@@ -81,33 +82,33 @@
       serviceClass: request.serviceClass,
       lane: `${request.service}|${request.items?.[0] ?? ''}`,
       deadline: request.deadline,
-      expectedMs: this.estimateTime(request),
+      expectedMs: this.estimateMs(request),
       signal: request.signal,
-      tryGrant: () => this.tryGrant(request),
+      tryGrant: () => this.tryAcquire(request),
     })
   }
 
-  /** Milliseconds that the fastest ready server would likely take; 0 when nothing is known. */
-  private estimateTime (request: PlaceRequest): number {
+  /** Expected milliseconds on the fastest ready server; 0 when unknown. */
+  private estimateMs (request: SlotRequest): number {
     const { tokens } = request
     if (tokens === undefined) return 0
-    const times = this.listReady(request).map((runner) => runner.msPerToken * tokens)
-    return times.length === 0 ? 0 : Math.min(...times)
+    const estimatesMs = this.listReady(request).map((runner) => runner.msPerToken * tokens)
+    return estimatesMs.length === 0 ? 0 : Math.min(...estimatesMs)
   }
 
-  /** A place without waiting, for hedges; undefined when there is none. */
-  tryGrant (request: PlaceRequest): Place | undefined {
+  /** Acquires a slot without waiting; undefined when none is free. */
+  tryAcquire (request: SlotRequest): Place | undefined {
     const ready = this.listReady(request)
-    const notFailed = ready.filter((runner) => !request.excluded.has(runner.id))
-    const usable = listUsable(notFailed.length > 0 ? notFailed : ready, this.opts.clock.readTime())
+    const untried = ready.filter((runner) => !request.excluded.has(runner.id))
+    const usable = listUsable(untried.length > 0 ? untried : ready, this.opts.clock.readTime())
     const free = usable.filter((runner) => this.hasRoom(runner, request))
     if (free.length === 0) return undefined
     const candidate = this.opts.picker.pick(free.map((runner) => this.buildCandidate(runner)), request)
-    return this.take(candidate.runner, request)
+    return this.takeSlot(candidate.runner, request)
   }
 
-  /** Servers where the request could run now or once they have room. */
-  listReady (request: Pick<PlaceRequest, 'partner' | 'service' | 'items' | 'adapter'>): readonly Runner[] {
+  /** Lists the servers that are ready for the request, whether or not they have a free slot. */
+  listReady (request: Pick<SlotRequest, 'partner' | 'service' | 'items' | 'adapter'>): readonly Runner[] {
     const allowed = this.opts.eligible.list(request.partner, request.service)
     if (!request.items) return allowed
     const { adapter } = request
@@ -118,30 +119,30 @@
     return []
   }
 
-  /** True when a server has fallen silent and another one that may take the request has not. */
-  isLost (runner: Runner, request: Pick<PlaceRequest, 'partner' | 'service' | 'items' | 'adapter'>): boolean {
+  /** Whether a server has stopped reporting while another one that can serve the request has not. */
+  isLost (runner: Runner, request: Pick<SlotRequest, 'partner' | 'service' | 'items' | 'adapter'>): boolean {
     const now = this.opts.clock.readTime()
     return runner.isSilent(now) && this.listReady(request).some((other) => other !== runner && !other.isSilent(now))
   }
 
-  /** True when this instance may send one more request of this partner and class there. */
+  /** Whether this instance may send one more request of this partner and class to the server. */
   hasRoom (runner: Runner, request: Pick<RequestWork, 'partner' | 'serviceClass'>): boolean {
     const { limit } = runner.limiter
     const now = this.opts.clock.readTime()
     if (runner.ownInFlight >= limit || now < runner.refusedUntil || runner.isFull(now)) return false
-    const reserve = limit >= LEAST_TO_DIVIDE ? Math.max(1, Math.floor(limit * LOOKUP_RESERVE)) : 0
-    if (request.serviceClass === ServiceClasses.WORK && runner.workInFlight >= limit - reserve) return false
+    const reservedSlots = limit >= MIN_DIVISIBLE_SLOTS ? Math.max(1, Math.floor(limit * LOOKUP_RESERVE_FRACTION)) : 0
+    if (request.serviceClass === ServiceClasses.WORK && runner.workInFlight >= limit - reservedSlots) return false
     return runner.countOf(request.partner) < this.computePartnerLimit(runner, request.partner)
   }
 
-  /** What the others' guaranteed shares leave of a server's places. */
+  /** Number of slots left by the guaranteed shares of the other partners that have items or services on the server. */
   private computePartnerLimit (runner: Runner, partner: string): number {
     const { limit } = runner.limiter
-    if (limit < LEAST_TO_DIVIDE) return limit
-    const present = runner.listPartners()
+    if (limit < MIN_DIVISIBLE_SLOTS) return limit
+    const hostedPartners = runner.listPartners()
     let guaranteed = 0
     for (const quota of this.opts.index.listObjects(Kinds.QUOTA)) {
-      if (quota.partner !== partner && present.has(quota.partner)) guaranteed += quota.spec.guaranteedShare
+      if (quota.partner !== partner && hostedPartners.has(quota.partner)) guaranteed += quota.spec.guaranteedShare
     }
     return Math.max(1, Math.ceil(limit * (1 - guaranteed)))
   }
@@ -153,19 +154,19 @@
       slots: runner.slots,
       serviceMs: runner.serviceMs,
       prefillMsPerBlock: runner.prefillMsPerBlock,
-      hopMs: this.computeHop(runner),
+      hopMs: this.computeHopMs(runner),
       estimateLoad: () => runner.estimateLoad(),
       countMatching: (blocks) => runner.cache.countMatching(blocks),
     }
   }
 
-  private computeHop (runner: Runner): number {
+  private computeHopMs (runner: Runner): number {
     const { self } = this.opts.view
-    if (runner.server.dataHall === self.dataHall) return HopMs.SAME_HALL
-    return runner.server.region === self.region ? HopMs.SAME_REGION : HopMs.ELSEWHERE
+    if (runner.server.dataHall === self.dataHall) return HopMs.SAME_DATA_HALL
+    return runner.server.region === self.region ? HopMs.SAME_REGION : HopMs.OTHER_REGION
   }
 
-  private take (runner: Runner, request: PlaceRequest): Place {
+  private takeSlot (runner: Runner, request: SlotRequest): Place {
     const startedAt = this.opts.clock.readTime()
     const isLookup = request.serviceClass === ServiceClasses.LOOKUP
     const missingBlocks = request.blocks.length - runner.cache.countMatching(request.blocks)
@@ -174,17 +175,17 @@
     runner.cache.expect(request.blocks)
     const inFlight = runner.ownInFlight
     let ended = false
-    const end = (outcome: PlaceOutcome): void => {
+    const end = (outcome: SlotOutcome): void => {
       if (ended) return
       ended = true
       runner.noteEnd(request.partner, isLookup, this.opts.clock.readTime(), item)
-      this.learn(runner, { ...outcome, startedAt, missingBlocks, inFlight })
+      this.recordOutcome(runner, { ...outcome, startedAt, missingBlocks, inFlight })
       this.opts.queue.pump()
     }
     return { runner, item, startedAt, missingBlocks, end }
   }
 
-  private learn (runner: Runner, outcome: PlaceOutcome & { startedAt: number, missingBlocks: number, inFlight: number }): void {
+  private recordOutcome (runner: Runner, outcome: SlotOutcome & { startedAt: number, missingBlocks: number, inFlight: number }): void {
     const now = this.opts.clock.readTime()
     const { firstByteMs } = outcome
     if (outcome.failed) {
@@ -195,9 +196,9 @@
     }
     if (firstByteMs === undefined && !outcome.overloaded) return
     if (firstByteMs !== undefined) runner.notePrefill(outcome.missingBlocks, firstByteMs)
-    const explained = outcome.missingBlocks * runner.prefillMsPerBlock
+    const prefillMs = outcome.missingBlocks * runner.prefillMsPerBlock
     runner.limiter.addSample({
-      firstByteMs: Math.max(1, (firstByteMs ?? 0) - explained),
+      firstByteMs: Math.max(1, (firstByteMs ?? 0) - prefillMs),
       inFlight: outcome.inFlight,
       waitingShare: runner.isOutdated(now) ? 0 : runner.waiting / runner.slots,
       serviceMs: runner.serviceMs,
--- a/routing/dispatch/src/ServiceDispatcher.ts
+++ b/routing/dispatch/src/ServiceDispatcher.ts
@@ -4,24 +4,24 @@
 import { PulleystackError, convertToError } from '@pulleystack/core.errors'
 import type { ServiceAnswer, ServiceClient } from '@pulleystack/backend.interfaces'
 import { EventKinds } from '@pulleystack/timeline.events'
-import { allowRetry, createAttemptSignal, createFinalError, createProgress, explainFailure, noteFailure, type Progress } from './attempts.js'
+import { allowRetry, createAttemptSignal, createFinalError, createProgress, explainFailure, recordFailure, type Progress } from './attempts.js'
 import type { DispatchOptions, RequestWork } from './DispatchOptions.js'
 import { LatencyTracker } from './LatencyTracker.js'
-import type { Place, PlaceRequest } from './Places.js'
+import type { Place, SlotRequest } from './Places.js'
 
-// Answers of lookups up to this size are read whole before the first byte goes on, so that a break can be retried.
-const MAX_HELD_BYTES = 256 << 10
+// Lookup responses up to this size are buffered before they are passed on, so that incomplete ones can be retried.
+const MAX_BUFFERED_BYTES = 256 << 10
 
 export interface ServiceWork extends RequestWork {
   method: string
   path: string
   headers: Record<string, string | string[]>
-  /** A stream can be sent once only. */
+  /** A stream can be sent only once. */
   body: Buffer | Readable | undefined
 }
 
-interface Running {
-  place: Place
+interface RunningAttempt {
+  slot: Place
   result: Promise<ServiceAnswer>
   stop: () => void
 }
@@ -32,19 +32,19 @@
 
   constructor (private readonly opts: DispatchOptions & { services: ServiceClient }) {}
 
-  /** Gives the answer of the one attempt that counts; the answers of all others are dropped. */
+  /** Resolves with the response of the first successful attempt and discards all others. */
   async run (work: ServiceWork): Promise<ServiceAnswer> {
     const progress = createProgress()
-    const oneShot = work.body instanceof Readable
+    const hasStreamBody = work.body instanceof Readable
     this.opts.budgets.find(work.partner, work.service).noteRequest()
     for (;;) {
-      const place = await this.acquire(work, progress)
+      const slot = await this.acquire(work, progress)
       progress.attempts++
       try {
-        return await this.runHedged(work, progress, place)
+        return await this.runHedged(work, progress, slot)
       } catch (thrown) {
         const error = convertToError(thrown)
-        if (oneShot) throw createFinalError(progress, error)
+        if (hasStreamBody) throw createFinalError(progress, error)
         await allowRetry(this.opts, work, progress, error)
       }
     }
@@ -58,19 +58,19 @@
     }
   }
 
-  /** Sends the call, and for a late lookup a second one elsewhere; the first good answer wins. */
-  private async runHedged (work: ServiceWork, progress: Progress, place: Place): Promise<ServiceAnswer> {
-    const first = this.start(work, progress, place)
+  /** Sends the call, and a slow lookup also to a second server; returns the first successful response. */
+  private async runHedged (work: ServiceWork, progress: Progress, slot: Place): Promise<ServiceAnswer> {
+    const first = this.start(work, progress, slot)
     if (!canHedge(work)) return first.result
-    const hedgeMs = this.latencies.estimateLate(`${work.partner}/${work.service}`)
-    const isLate = await this.waitUntilLate(first.result, hedgeMs)
-    const second = isLate ? this.startHedge(work, progress, place) : undefined
+    const hedgeMs = this.latencies.estimateSlowMs(`${work.partner}/${work.service}`)
+    const isSlow = await this.waitUntilSlow(first.result, hedgeMs)
+    const second = isSlow ? this.startHedge(work, progress, slot) : undefined
     if (!second) return first.result
-    return this.takeFirst(first, second)
+    return this.waitForFirst(first, second)
   }
 
-  /** True when the time passed before the attempt was settled. */
-  private waitUntilLate (result: Promise<unknown>, ms: number): Promise<boolean> {
+  /** Resolves with true when the time passes before the attempt is settled. */
+  private waitUntilSlow (result: Promise<unknown>, ms: number): Promise<boolean> {
     return new Promise((resolve) => {
       const cancel = this.opts.clock.setTimer(ms, () => resolve(true))
       const finish = (): void => {
@@ -81,57 +81,57 @@
     })
   }
 
-  private startHedge (work: ServiceWork, progress: Progress, place: Place): Running | undefined {
+  private startHedge (work: ServiceWork, progress: Progress, slot: Place): RunningAttempt | undefined {
     const budget = this.opts.budgets.find(work.partner, work.service)
     if (!budget.take()) return undefined
-    const excluded = new Set([...progress.excluded, place.runner.id])
-    const other = this.opts.places.tryGrant({ ...buildRequest(work, progress), excluded })
-    if (other && other.runner.id !== place.runner.id) return this.start(work, progress, other)
-    other?.end({ failed: false })
+    const excluded = new Set([...progress.excluded, slot.runner.id])
+    const otherSlot = this.opts.places.tryAcquire({ ...buildRequest(work, progress), excluded })
+    if (otherSlot && otherSlot.runner.id !== slot.runner.id) return this.start(work, progress, otherSlot)
+    otherSlot?.end({ failed: false })
     budget.giveBack()
     return undefined
   }
 
-  private async takeFirst (first: Running, second: Running): Promise<ServiceAnswer> {
-    const tagged = [first, second].map((running) => running.result.then((answer) => ({ answer, running })))
+  private async waitForFirst (first: RunningAttempt, second: RunningAttempt): Promise<ServiceAnswer> {
+    const results = [first, second].map((running) => running.result.then((response) => ({ response, running })))
     try {
-      const winner = await Promise.any(tagged)
+      const winner = await Promise.any(results)
       const loser = winner.running === first ? second : first
       loser.stop()
-      void loser.result.then(dropBody, () => undefined)
-      return winner.answer
+      void loser.result.then(discardBody, () => undefined)
+      return winner.response
     } catch {
       return first.result
     }
   }
 
-  private start (work: ServiceWork, progress: Progress, place: Place): Running {
-    const { abort, release } = createAttemptSignal(this.opts.clock, work)
-    const result = this.attempt(work, progress, place, abort).finally(release)
+  private start (work: ServiceWork, progress: Progress, slot: Place): RunningAttempt {
+    const { controller, release } = createAttemptSignal(this.opts.clock, work)
+    const result = this.attempt(work, progress, slot, controller).finally(release)
     result.catch(() => undefined)
-    return { place, result, stop: () => abort.abort(new PulleystackError('ATTEMPT_FAILED_UNKNOWN', 'Another attempt was faster')) }
+    return { slot, result, stop: () => controller.abort(new PulleystackError('ATTEMPT_FAILED_UNKNOWN', 'Another attempt finished first')) }
   }
 
-  private async attempt (work: ServiceWork, progress: Progress, place: Place, abort: AbortController): Promise<ServiceAnswer> {
+  private async attempt (work: ServiceWork, progress: Progress, slot: Place, controller: AbortController): Promise<ServiceAnswer> {
     const { clock, ring } = this.opts
     const id = this.opts.createId()
-    const fields = { request: work.request, attempt: id, server: place.runner.id, partner: work.partner }
+    const fields = { request: work.request, attempt: id, server: slot.runner.id, partner: work.partner }
     ring.record(EventKinds.ATTEMPT_PICKED, fields)
     let firstByteMs: number | undefined
     try {
       const { method, path, headers, body } = work
-      const answer = await this.opts.services.call(place.runner.server.address, { attempt: id, method, path, headers, body }, abort.signal)
-      firstByteMs = clock.readTime() - place.startedAt
-      const held = await holdAnswer(work, answer)
+      const response = await this.opts.services.call(slot.runner.server.address, { attempt: id, method, path, headers, body }, controller.signal)
+      firstByteMs = clock.readTime() - slot.startedAt
+      const collected = await collectSmallBody(work, response)
       this.latencies.add(`${work.partner}/${work.service}`, firstByteMs)
-      ring.record(EventKinds.ATTEMPT_FINISHED, { ...fields, ms: firstByteMs, note: `status ${answer.status}` })
-      endWithBody(held.body, () => place.end({ firstByteMs, failed: false }))
-      return held
+      ring.record(EventKinds.ATTEMPT_FINISHED, { ...fields, ms: firstByteMs, note: `status ${response.status}` })
+      endAfterBody(collected.body, () => slot.end({ firstByteMs, failed: false }))
+      return collected
     } catch (thrown) {
-      const error = explainFailure(abort.signal, convertToError(thrown))
-      noteFailure(progress, error, place.runner.id)
+      const error = explainFailure(controller.signal, convertToError(thrown))
+      recordFailure(progress, error, slot.runner.id)
       ring.record(EventKinds.ATTEMPT_FAILED, { ...fields, note: `${error.code}: ${error.message}` })
-      place.end({ firstByteMs, failed: !abort.signal.aborted, overloaded: error.code === 'BACKEND_REFUSED' })
+      slot.end({ firstByteMs, failed: !controller.signal.aborted, overloaded: error.code === 'BACKEND_REFUSED' })
       throw error
     }
   }
@@ -141,25 +141,25 @@
   return work.repeatable && work.serviceClass === ServiceClasses.LOOKUP && !(work.body instanceof Readable)
 }
 
-function buildRequest (work: ServiceWork, progress: Progress): PlaceRequest {
+function buildRequest (work: ServiceWork, progress: Progress): SlotRequest {
   return { ...work, blocks: [], excluded: progress.excluded }
 }
 
-async function holdAnswer (work: ServiceWork, answer: ServiceAnswer): Promise<ServiceAnswer> {
-  const length = Number(answer.headers['content-length'] ?? NaN)
-  if (work.serviceClass !== ServiceClasses.LOOKUP || !(length <= MAX_HELD_BYTES)) return answer
+async function collectSmallBody (work: ServiceWork, response: ServiceAnswer): Promise<ServiceAnswer> {
+  const length = Number(response.headers['content-length'] ?? NaN)
+  if (work.serviceClass !== ServiceClasses.LOOKUP || !(length <= MAX_BUFFERED_BYTES)) return response
   try {
-    return { ...answer, body: await buffer(answer.body as Readable) }
+    return { ...response, body: await buffer(response.body as Readable) }
   } catch (cause) {
-    throw new PulleystackError('ATTEMPT_FAILED_UNKNOWN', 'The answer broke off', { cause })
+    throw new PulleystackError('ATTEMPT_FAILED_UNKNOWN', 'The response ended before it was complete', { cause })
   }
 }
 
-function dropBody (answer: ServiceAnswer): void {
-  if (!Buffer.isBuffer(answer.body)) answer.body.destroy()
+function discardBody (response: ServiceAnswer): void {
+  if (!Buffer.isBuffer(response.body)) response.body.destroy()
 }
 
-function endWithBody (body: Readable | Buffer, end: () => void): void {
+function endAfterBody (body: Readable | Buffer, end: () => void): void {
   if (Buffer.isBuffer(body) || body.destroyed || body.readableEnded) {
     end()
     return
--- a/routing/dispatch/src/StallWatch.ts
+++ b/routing/dispatch/src/StallWatch.ts
@@ -3,50 +3,50 @@
 
 export interface StallWatchOptions {
   clock: Clock
-  /** Silence after which the server may be frozen with its connection open. */
+  /** Milliseconds without data after which the stream counts as stalled. */
   stallMs: number
-  /** Asked then; true when silence is to be expected, as while the request waits in the server's own queue. */
+  /** Called for a stalled stream; true when a pause is expected, as while the request is in the server's queue. */
   mayWait: () => boolean
-  /** Ends the stream for other reasons. */
+  /** Aborts the stream for other reasons. */
   signal: AbortSignal
 }
 
-/** Ends a stream from which nothing comes any more. One timer watches it, however many tokens come. */
+/** Aborts a stalled stream. Uses a single timer, which progress does not reset. */
 export class StallWatch {
-  private readonly abort = new AbortController()
-  private readonly leave = (): void => this.end(new PulleystackError('ATTEMPT_FAILED_UNKNOWN', 'The attempt was stopped'))
+  private readonly controller = new AbortController()
+  private readonly handleAbort = (): void => this.fail(new PulleystackError('ATTEMPT_FAILED_UNKNOWN', 'The attempt was aborted'))
   private progressAt: number
   private cancelTimer: () => void = () => undefined
-  private failReader: (error: PulleystackError) => void = () => undefined
+  private rejectReading: (error: PulleystackError) => void = () => undefined
 
   constructor (private readonly opts: StallWatchOptions) {
     this.progressAt = opts.clock.readTime()
-    if (opts.signal.aborted) this.leave()
-    opts.signal.addEventListener('abort', this.leave, { once: true })
+    if (opts.signal.aborted) this.handleAbort()
+    opts.signal.addEventListener('abort', this.handleAbort, { once: true })
     this.schedule(opts.stallMs)
   }
 
-  /** Ends with the stream, whatever ends it. */
+  /** Aborted with the stream, for whichever reason. */
   get signal (): AbortSignal {
-    return this.abort.signal
+    return this.controller.signal
   }
 
-  noteProgress (): void {
+  recordProgress (): void {
     this.progressAt = this.opts.clock.readTime()
   }
 
-  /** Settles like the reader, or fails when the stream is ended here: a frozen one would never settle. */
+  /** Settles like `reading`, or rejects when the stream is aborted, since a stalled read may never settle. */
   guard<T> (reading: Promise<T>): Promise<T> {
     return new Promise((resolve, reject) => {
-      this.failReader = reject
-      if (this.abort.signal.aborted) reject(this.abort.signal.reason)
+      this.rejectReading = reject
+      if (this.controller.signal.aborted) reject(this.controller.signal.reason)
       reading.then(resolve, reject)
     })
   }
 
   stop (): void {
     this.cancelTimer()
-    this.opts.signal.removeEventListener('abort', this.leave)
+    this.opts.signal.removeEventListener('abort', this.handleAbort)
   }
 
   private schedule (ms: number): void {
@@ -57,11 +57,11 @@
     const silentMs = this.opts.clock.readTime() - this.progressAt
     if (silentMs < this.opts.stallMs) this.schedule(this.opts.stallMs - silentMs)
     else if (this.opts.mayWait()) this.schedule(this.opts.stallMs)
-    else this.end(new PulleystackError('ATTEMPT_FAILED_UNKNOWN', `Nothing came for ${this.opts.stallMs} ms`))
+    else this.fail(new PulleystackError('ATTEMPT_FAILED_UNKNOWN', `No data received for ${this.opts.stallMs} ms`))
   }
 
-  private end (error: PulleystackError): void {
-    this.abort.abort(error)
-    this.failReader(error)
+  private fail (error: PulleystackError): void {
+    this.controller.abort(error)
+    this.rejectReading(error)
   }
 }
--- a/routing/dispatch/src/index.ts
+++ b/routing/dispatch/src/index.ts
@@ -1,6 +1,6 @@
 export { EligibleRunners } from './EligibleRunners.js'
 export { Places } from './Places.js'
-export type { Place, PlaceRequest, PlacesOptions } from './Places.js'
+export type { Place, SlotRequest, SlotAllocatorOptions } from './Places.js'
 export { GenerationDispatcher } from './GenerationDispatcher.js'
 export type { GenerationWork } from './GenerationDispatcher.js'
 export { ServiceDispatcher } from './ServiceDispatcher.js'
--- a/routing/dispatch/test/GenerationDispatcher.test.ts
+++ b/routing/dispatch/test/GenerationDispatcher.test.ts
@@ -16,8 +16,8 @@
 const TOKENS = 6
 const ITEM = 'p/m@base'
 
-/** What becomes of one connection to an engine. */
-type Fate =
+/** How an engine handles one connection. */
+type Behavior =
   | { kind: 'good' }
   | { kind: 'unreachable' }
   | { kind: 'refused' }
@@ -26,28 +26,28 @@
   | { kind: 'repeats', from: number }
   | { kind: 'skips', at: number }
 
-/** Engines whose connections meet the fates listed, one after the other; attempts that began are counted. */
-class FatedEngines extends EngineClient {
-  readonly began: string[] = []
+/** Engines whose connections follow the listed behaviors in order; records the attempts that were started and cancelled. */
+class ScriptedEngines extends EngineClient {
+  readonly started: string[] = []
   readonly cancelled: string[] = []
 
-  constructor (private readonly opts: { clock: ManualClock, fates: Fate[], forgetful: boolean }) {
+  constructor (private readonly opts: { clock: ManualClock, behaviors: Behavior[], forgetsAttempts: boolean }) {
     super()
   }
 
   async generate (_: string, call: GenerateCall, sink: TokenSink, signal: AbortSignal): Promise<GenerateEnd> {
-    const fate = this.opts.fates.shift() ?? { kind: 'good' }
-    if (fate.kind === 'unreachable') throw new PulleystackError('ATTEMPT_FAILED_NOT_RUN', 'unreachable')
-    if (fate.kind === 'refused') throw new PulleystackError('BACKEND_REFUSED', 'refused', { ran: Ran.NO })
-    this.began.push(call.attempt)
-    return this.stream(call.attempt, call.offset, fate, sink, signal)
+    const behavior = this.opts.behaviors.shift() ?? { kind: 'good' }
+    if (behavior.kind === 'unreachable') throw new PulleystackError('ATTEMPT_FAILED_NOT_RUN', 'unreachable')
+    if (behavior.kind === 'refused') throw new PulleystackError('BACKEND_REFUSED', 'refused', { ran: Ran.NO })
+    this.started.push(call.attempt)
+    return this.stream(call.attempt, call.offset, behavior, sink, signal)
   }
 
   async resume (_: string, attempt: string, offset: number, sink: TokenSink, signal: AbortSignal): Promise<GenerateEnd> {
-    const fate = this.opts.fates.shift() ?? { kind: 'good' }
-    if (this.opts.forgetful || fate.kind === 'refused') throw new PulleystackError('BACKEND_REFUSED', 'no such attempt', { ran: Ran.NO })
-    if (fate.kind === 'unreachable') throw new PulleystackError('ATTEMPT_FAILED_NOT_RUN', 'unreachable')
-    return this.stream(attempt, offset, fate, sink, signal)
+    const behavior = this.opts.behaviors.shift() ?? { kind: 'good' }
+    if (this.opts.forgetsAttempts || behavior.kind === 'refused') throw new PulleystackError('BACKEND_REFUSED', 'no such attempt', { ran: Ran.NO })
+    if (behavior.kind === 'unreachable') throw new PulleystackError('ATTEMPT_FAILED_NOT_RUN', 'unreachable')
+    return this.stream(attempt, offset, behavior, sink, signal)
   }
 
   async cancel (_: string, attempt: string): Promise<void> {
@@ -66,21 +66,21 @@
     return err(new PulleystackError('INTERNAL', 'unused'))
   }
 
-  private async stream (attempt: string, offset: number, fate: Fate, sink: TokenSink, signal: AbortSignal): Promise<GenerateEnd> {
+  private async stream (attempt: string, offset: number, behavior: Behavior, sink: TokenSink, signal: AbortSignal): Promise<GenerateEnd> {
     for (let at = offset; at < TOKENS; at++) {
       await this.opts.clock.wait(5, signal)
-      if (signal.aborted || (fate.kind === 'breaks' && at - offset >= fate.after)) throw new PulleystackError('ATTEMPT_FAILED_UNKNOWN', 'broke')
-      if (fate.kind === 'stalls' && at - offset >= fate.after) await this.opts.clock.wait(60_000, signal)
+      if (signal.aborted || (behavior.kind === 'breaks' && at - offset >= behavior.after)) throw new PulleystackError('ATTEMPT_FAILED_UNKNOWN', 'broke')
+      if (behavior.kind === 'stalls' && at - offset >= behavior.after) await this.opts.clock.wait(60_000, signal)
       if (signal.aborted) throw new PulleystackError('ATTEMPT_FAILED_UNKNOWN', 'aborted')
-      if (fate.kind === 'skips' && at === fate.at) continue
+      if (behavior.kind === 'skips' && at === behavior.at) continue
       await sink({ attempt, offset: at, text: `t${at} ` })
-      if (fate.kind === 'repeats' && at === fate.from) await sink({ attempt, offset: at, text: `t${at} ` })
+      if (behavior.kind === 'repeats' && at === behavior.from) await sink({ attempt, offset: at, text: `t${at} ` })
     }
     return { attempt, finish: 'stop', tokens: TOKENS }
   }
 }
 
-function createBench (fates: Fate[], opts: { forgetful?: boolean } = {}) {
+function createFixture (behaviors: Behavior[], opts: { forgetsAttempts?: boolean } = {}) {
   const clock = new ManualClock()
   const random = new RandomSource(1)
   const replica = createReplica([buildService('p', 'drafts'), buildModel('p', 'm')])
@@ -97,7 +97,7 @@
   const eligible = new EligibleRunners({ index, replica, table, view })
   const queue = new WorkQueue<Place>({ clock, maxPerPartner: 100, getWeight: () => 1 })
   const places = new Places({ clock, random, view, index, eligible, queue, picker: new CostPicker(random), ring })
-  const engines = new FatedEngines({ clock, fates, forgetful: opts.forgetful ?? false })
+  const engines = new ScriptedEngines({ clock, behaviors, forgetsAttempts: opts.forgetsAttempts ?? false })
   const budgets = new Budgets()
   for (let i = 0; i < 100; i++) budgets.find('p', 'drafts').noteRequest()
   let ids = 0
@@ -105,13 +105,13 @@
   return { clock, table, engines, dispatcher }
 }
 
-async function run (bench: ReturnType<typeof createBench>, opts: { repeatable?: boolean, deadlineMs?: number, signal?: AbortSignal } = {}) {
+async function run (fixture: ReturnType<typeof createFixture>, opts: { repeatable?: boolean, deadlineMs?: number, signal?: AbortSignal } = {}) {
   const work = {
     request: 'r',
     partner: 'p',
     service: 'drafts',
     serviceClass: 'work' as const,
-    deadline: bench.clock.readTime() + (opts.deadlineMs ?? 30_000),
+    deadline: fixture.clock.readTime() + (opts.deadlineMs ?? 30_000),
     repeatable: opts.repeatable ?? true,
     signal: opts.signal ?? new AbortController().signal,
     items: [ITEM],
@@ -120,104 +120,104 @@
   }
   const outcome = { text: '', ended: false, error: undefined as PulleystackError | undefined }
   const reading = (async () => {
-    await bench.dispatcher.run(work, (token) => {
+    await fixture.dispatcher.run(work, (token) => {
       outcome.text += token.text
     })
     outcome.ended = true
   })().catch((thrown: unknown) => {
     outcome.error = convertToError(thrown)
   })
-  await bench.clock.advance(40_000)
+  await fixture.clock.advance(40_000)
   await reading
   return outcome
 }
 
-const WHOLE = Array.from({ length: TOKENS }, (_, i) => `t${i} `).join('')
+const FULL_TEXT = Array.from({ length: TOKENS }, (_, i) => `t${i} `).join('')
 
 describe('GenerationDispatcher', () => {
   it('resumes a broken stream at its offset on the same engine', async () => {
-    const bench = createBench([{ kind: 'breaks', after: 2 }])
-    const outcome = await run(bench)
-    assert.equal(outcome.text, WHOLE)
-    assert.equal(bench.engines.began.length, 1)
+    const fixture = createFixture([{ kind: 'breaks', after: 2 }])
+    const outcome = await run(fixture)
+    assert.equal(outcome.text, FULL_TEXT)
+    assert.equal(fixture.engines.started.length, 1)
   })
 
-  it('goes on elsewhere when the engine has forgotten the attempt', async () => {
-    const bench = createBench([{ kind: 'breaks', after: 3 }], { forgetful: true })
-    const outcome = await run(bench)
-    assert.equal(outcome.text, WHOLE)
-    assert.equal(bench.engines.began.length, 2)
+  it('continues on another engine when the first no longer knows the attempt', async () => {
+    const fixture = createFixture([{ kind: 'breaks', after: 3 }], { forgetsAttempts: true })
+    const outcome = await run(fixture)
+    assert.equal(outcome.text, FULL_TEXT)
+    assert.equal(fixture.engines.started.length, 2)
   })
 
-  it('never starts work again that may not be repeated', async () => {
-    const bench = createBench([{ kind: 'breaks', after: 0 }], { forgetful: true })
-    const outcome = await run(bench, { repeatable: false })
+  it('never restarts a non-repeatable request', async () => {
+    const fixture = createFixture([{ kind: 'breaks', after: 0 }], { forgetsAttempts: true })
+    const outcome = await run(fixture, { repeatable: false })
     assert.equal(outcome.error?.ran, Ran.UNKNOWN)
-    assert.equal(bench.engines.began.length, 1)
+    assert.equal(fixture.engines.started.length, 1)
   })
 
-  it('goes to another engine when the first could not be reached, even with work that may not be repeated', async () => {
-    const bench = createBench([{ kind: 'unreachable' }, { kind: 'unreachable' }])
-    assert.equal((await run(bench, { repeatable: false })).text, WHOLE)
+  it('tries another engine when the first is unreachable, even for a non-repeatable request', async () => {
+    const fixture = createFixture([{ kind: 'unreachable' }, { kind: 'unreachable' }])
+    assert.equal((await run(fixture, { repeatable: false })).text, FULL_TEXT)
   })
 
-  it('gives up on a frozen engine and goes on elsewhere', async () => {
-    const bench = createBench([{ kind: 'stalls', after: 2 }, { kind: 'refused' }])
-    const outcome = await run(bench)
-    assert.equal(outcome.text, WHOLE)
+  it('aborts a stalled stream and continues on another engine', async () => {
+    const fixture = createFixture([{ kind: 'stalls', after: 2 }, { kind: 'refused' }])
+    const outcome = await run(fixture)
+    assert.equal(outcome.text, FULL_TEXT)
   })
 
-  it('cancels the engine\'s work when the caller goes away', async () => {
-    const bench = createBench([])
+  it('cancels the attempt on the engine when the caller disconnects', async () => {
+    const fixture = createFixture([])
     const abort = new AbortController()
-    bench.clock.setTimer(12, () => abort.abort())
-    const outcome = await run(bench, { signal: abort.signal })
+    fixture.clock.setTimer(12, () => abort.abort())
+    const outcome = await run(fixture, { signal: abort.signal })
     assert.equal(outcome.ended, false)
-    assert.deepEqual(bench.engines.cancelled, bench.engines.began)
+    assert.deepEqual(fixture.engines.cancelled, fixture.engines.started)
   })
 
-  it('does not cancel an answer that came to its end', async () => {
-    const bench = createBench([])
-    await run(bench)
-    assert.deepEqual(bench.engines.cancelled, [])
+  it('does not cancel a completed attempt', async () => {
+    const fixture = createFixture([])
+    await run(fixture)
+    assert.deepEqual(fixture.engines.cancelled, [])
   })
 
-  it('says at the deadline that work was sent', async () => {
-    const bench = createBench([{ kind: 'stalls', after: 0 }])
-    const outcome = await run(bench, { deadlineMs: 200 })
+  it('rejects with DEADLINE_UNKNOWN when the deadline passes after the request was sent', async () => {
+    const fixture = createFixture([{ kind: 'stalls', after: 0 }])
+    const outcome = await run(fixture, { deadlineMs: 200 })
     assert.equal(outcome.error?.code, 'DEADLINE_UNKNOWN')
   })
 
-  it('does not take an end for the answer\'s when tokens are missing before it', async () => {
-    const bench = createBench([{ kind: 'skips', at: TOKENS - 1 }])
-    assert.equal((await run(bench)).text, WHOLE)
+  it('does not accept the end of a stream with missing tokens', async () => {
+    const fixture = createFixture([{ kind: 'skips', at: TOKENS - 1 }])
+    assert.equal((await run(fixture)).text, FULL_TEXT)
   })
 
-  it('gives every place back', async () => {
-    const bench = createBench([{ kind: 'breaks', after: 1 }, { kind: 'refused' }, { kind: 'unreachable' }])
-    await run(bench)
-    assert.deepEqual([...bench.table.listRunners()].map((runner) => runner.ownInFlight), [0, 0, 0])
+  it('releases every slot', async () => {
+    const fixture = createFixture([{ kind: 'breaks', after: 1 }, { kind: 'refused' }, { kind: 'unreachable' }])
+    await run(fixture)
+    assert.deepEqual([...fixture.table.listRunners()].map((runner) => runner.ownInFlight), [0, 0, 0])
   })
 
-  it('gives the whole answer or a truthful error, whatever happens to connections', async () => {
-    const fate: fc.Arbitrary<Fate> = fc.oneof(
-      fc.constant<Fate>({ kind: 'good' }),
-      fc.constant<Fate>({ kind: 'unreachable' }),
-      fc.constant<Fate>({ kind: 'refused' }),
+  it('delivers the complete output or an accurate error for any connection failures', async () => {
+    const behavior: fc.Arbitrary<Behavior> = fc.oneof(
+      fc.constant<Behavior>({ kind: 'good' }),
+      fc.constant<Behavior>({ kind: 'unreachable' }),
+      fc.constant<Behavior>({ kind: 'refused' }),
       fc.record({ kind: fc.constant('breaks' as const), after: fc.nat(TOKENS) }),
       fc.record({ kind: fc.constant('stalls' as const), after: fc.nat(TOKENS) }),
       fc.record({ kind: fc.constant('repeats' as const), from: fc.nat(TOKENS) }),
       fc.record({ kind: fc.constant('skips' as const), at: fc.nat(TOKENS) }),
     )
-    const fates = fc.array(fate, { maxLength: 8 })
-    await checkProperty([fates, fc.boolean(), fc.boolean(), fc.constantFrom(60, 700, 30_000)], async (list, repeatable, forgetful, deadlineMs) => {
-      const bench = createBench([...list], { forgetful })
-      const outcome = await run(bench, { repeatable, deadlineMs })
-      assert.ok(WHOLE.startsWith(outcome.text), `received ${outcome.text}`)
-      assert.equal(outcome.ended, outcome.text === WHOLE && outcome.error === undefined)
+    const behaviors = fc.array(behavior, { maxLength: 8 })
+    await checkProperty([behaviors, fc.boolean(), fc.boolean(), fc.constantFrom(60, 700, 30_000)], async (list, repeatable, forgetsAttempts, deadlineMs) => {
+      const fixture = createFixture([...list], { forgetsAttempts })
+      const outcome = await run(fixture, { repeatable, deadlineMs })
+      assert.ok(FULL_TEXT.startsWith(outcome.text), `received ${outcome.text}`)
+      assert.equal(outcome.ended, outcome.text === FULL_TEXT && outcome.error === undefined)
       if (!outcome.ended) assert.ok(outcome.error, 'neither an end nor an error')
-      if (!repeatable) assert.ok(bench.engines.began.length <= 1, `began ${bench.engines.began.length} times`)
-      if (outcome.error?.ran === Ran.NO) assert.equal(bench.engines.began.length, 0)
+      if (!repeatable) assert.ok(fixture.engines.started.length <= 1, `started ${fixture.engines.started.length} times`)
+      if (outcome.error?.ran === Ran.NO) assert.equal(fixture.engines.started.length, 0)
       if (outcome.text !== '' && outcome.error) assert.equal(outcome.error.ran, Ran.YES)
     }, 150)
   })
--- a/routing/dispatch/test/ServiceDispatcher.test.ts
+++ b/routing/dispatch/test/ServiceDispatcher.test.ts
@@ -12,32 +12,32 @@
 import { buildService, createReplica, createView } from '@pulleystack/tools.testing'
 import { Budgets, EligibleRunners, Places, ServiceDispatcher, type Place } from '../src/index.js'
 
-type Fate = { ms: number, error?: PulleystackError, breaks?: boolean }
+type Behavior = { ms: number, error?: PulleystackError, breaks?: boolean }
 
-/** Plain servers whose calls meet the fates listed, one after the other. */
-class FatedServices extends ServiceClient {
+/** Plain servers whose calls follow the listed behaviors in order. */
+class ScriptedServices extends ServiceClient {
   readonly calls: string[] = []
   readonly aborted: string[] = []
 
-  constructor (private readonly opts: { clock: ManualClock, fates: Fate[] }) {
+  constructor (private readonly opts: { clock: ManualClock, behaviors: Behavior[] }) {
     super()
   }
 
   async call (address: string, call: ServiceCall, signal: AbortSignal): Promise<ServiceAnswer> {
-    const fate = this.opts.fates.shift() ?? { ms: 5 }
+    const behavior = this.opts.behaviors.shift() ?? { ms: 5 }
     this.calls.push(address)
-    await this.opts.clock.wait(fate.ms, signal)
+    await this.opts.clock.wait(behavior.ms, signal)
     if (signal.aborted) {
       this.aborted.push(address)
       throw new PulleystackError('ATTEMPT_FAILED_UNKNOWN', 'aborted')
     }
-    if (fate.error) throw fate.error
-    const body = fate.breaks ? createBroken() : Readable.from([Buffer.from(`from ${address} for ${call.attempt}`)])
+    if (behavior.error) throw behavior.error
+    const body = behavior.breaks ? createBrokenBody() : Readable.from([Buffer.from(`from ${address} for ${call.attempt}`)])
     return { status: 200, headers: { 'content-length': '20' }, body }
   }
 }
 
-function createBroken (): Readable {
+function createBrokenBody (): Readable {
   return new Readable({
     read () {
       this.destroy(new Error('broke'))
@@ -45,20 +45,20 @@
   })
 }
 
-function createBench (fates: Fate[], opts: { requestsBefore?: number } = {}) {
+function createFixture (behaviors: Behavior[], opts: { requestsBefore?: number } = {}) {
   const clock = new ManualClock()
   const random = new RandomSource(4)
   const replica = createReplica([buildService('p', 's', { type: 'plain', class: 'lookup' }), buildService('p', 'w', { type: 'plain', class: 'work' })])
   const index = new ConfigIndex(replica)
   const { view } = createView(clock, 'a', ['a'])
   const table = new RunnerTable()
-  const place = { role: InstanceRoles.PLAIN, region: 'r', dataHall: 'h', leaving: false, labels: {}, services: ['p/s', 'p/w'] }
-  table.applyServers(['x', 'y', 'z'].map((id) => ({ id, address: id, ...place })), 0)
+  const shared = { role: InstanceRoles.PLAIN, region: 'r', dataHall: 'h', leaving: false, labels: {}, services: ['p/s', 'p/w'] }
+  table.applyServers(['x', 'y', 'z'].map((id) => ({ id, address: id, ...shared })), 0)
   const ring = new EventRing({ clock, instance: 'a', dataHall: 'h' })
   const eligible = new EligibleRunners({ index, replica, table, view })
   const queue = new WorkQueue<Place>({ clock, maxPerPartner: 100, getWeight: () => 1 })
   const places = new Places({ clock, random, view, index, eligible, queue, picker: new CostPicker(random), ring })
-  const services = new FatedServices({ clock, fates })
+  const services = new ScriptedServices({ clock, behaviors })
   const budgets = new Budgets()
   for (let i = 0; i < (opts.requestsBefore ?? 0); i++) budgets.find('p', 's').noteRequest()
   let ids = 0
@@ -66,11 +66,11 @@
   return { clock, services, table, dispatcher, budgets }
 }
 
-async function run (bench: ReturnType<typeof createBench>, change: { service?: string, repeatable?: boolean, body?: Buffer | Readable } = {}) {
+async function run (fixture: ReturnType<typeof createFixture>, change: { service?: string, repeatable?: boolean, body?: Buffer | Readable } = {}) {
   const service = change.service ?? 's'
-  const started = bench.clock.readTime()
+  const started = fixture.clock.readTime()
   const outcome = { status: 0, text: '', ms: 0, error: undefined as PulleystackError | undefined }
-  const running = bench.dispatcher.run({
+  const running = fixture.dispatcher.run({
     request: 'r',
     partner: 'p',
     service,
@@ -82,15 +82,15 @@
     path: '/',
     headers: {},
     body: change.body,
-  }).then((answer) => {
-    outcome.status = answer.status
-    outcome.text = String(answer.body)
+  }).then((response) => {
+    outcome.status = response.status
+    outcome.text = String(response.body)
   }, (thrown: unknown) => {
     outcome.error = convertToError(thrown)
   }).finally(() => {
-    outcome.ms = bench.clock.readTime() - started
+    outcome.ms = fixture.clock.readTime() - started
   })
-  await bench.clock.advance(8_000)
+  await fixture.clock.advance(8_000)
   await running
   return outcome
 }
@@ -98,61 +98,61 @@
 const LOST = new PulleystackError('ATTEMPT_FAILED_UNKNOWN', 'lost')
 
 describe('ServiceDispatcher', () => {
-  it('hedges a late lookup at another server, takes the first answer and drops the other', async () => {
-    const bench = createBench([{ ms: 3_000 }, { ms: 5 }])
-    const outcome = await run(bench)
+  it('hedges a slow lookup on another server, returns the first response and aborts the other attempt', async () => {
+    const fixture = createFixture([{ ms: 3_000 }, { ms: 5 }])
+    const outcome = await run(fixture)
     assert.equal(outcome.status, 200)
     assert.ok(outcome.ms < 400, `${outcome.ms} ms`)
-    assert.equal(new Set(bench.services.calls).size, 2)
-    assert.deepEqual(bench.services.aborted, [bench.services.calls[0]])
+    assert.equal(new Set(fixture.services.calls).size, 2)
+    assert.deepEqual(fixture.services.aborted, [fixture.services.calls[0]])
   })
 
-  it('does not hedge when the budget is used up', async () => {
-    const bench = createBench([{ ms: 3_000 }])
-    while (bench.budgets.find('p', 's').take()) { /* until nothing is left */ }
-    await run(bench)
-    assert.equal(bench.services.calls.length, 1)
+  it('does not hedge when the retry budget is exhausted', async () => {
+    const fixture = createFixture([{ ms: 3_000 }])
+    while (fixture.budgets.find('p', 's').take()) { /* use up the budget */ }
+    await run(fixture)
+    assert.equal(fixture.services.calls.length, 1)
   })
 
-  it('never hedges what may not be repeated, nor work that may wait', async () => {
-    const once = createBench([{ ms: 3_000 }])
-    await run(once, { repeatable: false })
-    const waiting = createBench([{ ms: 3_000 }])
-    await run(waiting, { service: 'w' })
-    assert.deepEqual([once.services.calls.length, waiting.services.calls.length], [1, 1])
+  it('never hedges non-repeatable requests or requests of the work class', async () => {
+    const nonRepeatable = createFixture([{ ms: 3_000 }])
+    await run(nonRepeatable, { repeatable: false })
+    const workClass = createFixture([{ ms: 3_000 }])
+    await run(workClass, { service: 'w' })
+    assert.deepEqual([nonRepeatable.services.calls.length, workClass.services.calls.length], [1, 1])
   })
 
-  it('tries a lookup elsewhere when its answer broke off', async () => {
-    const bench = createBench([{ ms: 5, breaks: true }])
-    const outcome = await run(bench)
+  it('retries a lookup on another server after an incomplete response', async () => {
+    const fixture = createFixture([{ ms: 5, breaks: true }])
+    const outcome = await run(fixture)
     assert.equal(outcome.status, 200)
-    assert.equal(new Set(bench.services.calls).size, 2)
+    assert.equal(new Set(fixture.services.calls).size, 2)
   })
 
-  it('sends a body that can be read once only once', async () => {
-    const bench = createBench([{ ms: 5, error: LOST }])
-    const outcome = await run(bench, { body: Readable.from(['x']) })
+  it('sends a streamed body only once', async () => {
+    const fixture = createFixture([{ ms: 5, error: LOST }])
+    const outcome = await run(fixture, { body: Readable.from(['x']) })
     assert.equal(outcome.error?.ran, Ran.UNKNOWN)
-    assert.equal(bench.services.calls.length, 1)
+    assert.equal(fixture.services.calls.length, 1)
   })
 
-  it('says that it does not know whether work ran that may not be repeated and was lost', async () => {
-    const bench = createBench([{ ms: 5, error: LOST }])
-    const outcome = await run(bench, { repeatable: false })
+  it('rejects with ATTEMPT_FAILED_UNKNOWN when the outcome of a non-repeatable request is unknown', async () => {
+    const fixture = createFixture([{ ms: 5, error: LOST }])
+    const outcome = await run(fixture, { repeatable: false })
     assert.equal(outcome.error?.code, 'ATTEMPT_FAILED_UNKNOWN')
-    assert.equal(bench.services.calls.length, 1)
+    assert.equal(fixture.services.calls.length, 1)
   })
 
-  it('sees a failing service get no more than a tenth more than its requests, and five', async () => {
-    const failing = Array.from({ length: 1_000 }, (): Fate => ({ ms: 1, error: LOST }))
-    const bench = createBench(failing)
-    for (let i = 0; i < 200; i++) await run(bench)
-    assert.ok(bench.services.calls.length <= 200 * 1.1 + 5, `${bench.services.calls.length} calls for 200 requests`)
+  it('sends a failing service at most 10% more calls than requests, plus five', async () => {
+    const failing = Array.from({ length: 1_000 }, (): Behavior => ({ ms: 1, error: LOST }))
+    const fixture = createFixture(failing)
+    for (let i = 0; i < 200; i++) await run(fixture)
+    assert.ok(fixture.services.calls.length <= 200 * 1.1 + 5, `${fixture.services.calls.length} calls for 200 requests`)
   })
 
-  it('gives every place back', async () => {
-    const bench = createBench([{ ms: 3_000 }, { ms: 5, error: LOST }, { ms: 5 }])
-    await run(bench)
-    assert.deepEqual([...bench.table.listRunners()].map((runner) => runner.ownInFlight), [0, 0, 0])
+  it('releases every slot', async () => {
+    const fixture = createFixture([{ ms: 3_000 }, { ms: 5, error: LOST }, { ms: 5 }])
+    await run(fixture)
+    assert.deepEqual([...fixture.table.listRunners()].map((runner) => runner.ownInFlight), [0, 0, 0])
   })
 })
