--- a/routing/claims/src/ClaimClient.ts
+++ b/routing/claims/src/ClaimClient.ts
@@ -59,8 +59,8 @@
   }
 
   /**
-   * Claims a key, first through the shard's owner. If the owner does not answer, writes the claim from here: the object
-   * API alone decides which request gets the key. Throws CLAIM_UNAVAILABLE at the deadline.
+   * Claims a key through the shard's owner, or directly if the call to the owner fails: the object API alone decides
+   * which request gets the key. Rejects with CLAIM_UNAVAILABLE at the deadline.
    */
   async claim (request: ClaimRequest, deadline: number): Promise<ClaimDecision> {
     const shard = hashText(request.key) % this.opts.shards
--- a/routing/dispatch/src/Places.ts
+++ b/routing/dispatch/src/Places.ts
@@ -96,7 +96,7 @@
     return estimatesMs.length === 0 ? 0 : Math.min(...estimatesMs)
   }
 
-  /** Acquires a slot without waiting; undefined when none is free. */
+  /** Acquires a slot without waiting; undefined when no ready server has a free one. */
   tryAcquire (request: SlotRequest): Place | undefined {
     const ready = this.listReady(request)
     const untried = ready.filter((runner) => !request.excluded.has(runner.id))
