--- a/membership/mesh/src/InstanceDirectory.ts
+++ b/membership/mesh/src/InstanceDirectory.ts
@@ -1,28 +1,28 @@
 import type { Clock } from '@pulleystack/core.clock'
 import { listRanked } from '@pulleystack/core.hashing'
-import { countServing, rankServing, type ServingCandidate } from './chooseServing.js'
+import { computeServingCount, rankServing, type ServingCandidate } from './chooseServing.js'
 
-/** What is known of one other instance, whether it lives or not. */
+/** A registered instance, whether it is running or not. */
 export interface KnownInstance extends ServingCandidate {
   peerAddress: string
 }
 
 interface Entry extends KnownInstance {
-  /** Monotone time since which no link to it came up though one was wanted; undefined while there is one or none is wanted. */
-  missingSince: number | undefined
+  /** Monotonic ms of the first failure to keep a required link; undefined while linked or when no link is required. */
+  unreachableSince: number | undefined
 }
 
-/** Links that an instance on standby keeps to ones that serve. */
-const STANDBY_LINKS = 4
-/** An instance that could not be reached for this long is replaced by another; one that restarts is back sooner. */
-const MISSING_MS = 1_500
+/** Links that a standby instance keeps to serving ones. */
+const STANDBY_LINK_COUNT = 4
+/** Longer than a restart takes; after this time another instance takes over. */
+const UNREACHABLE_MS = 1_500
 
-/** Which instances there are, and which of them are to serve. */
+/** The registered instances, and the choice of those that serve. */
 export class InstanceDirectory {
   private readonly entries = new Map<string, Entry>()
-  /** Monotone time since which fewer serve than should. */
-  private shortSince: number | undefined
-  /** The order of all known instances; undefined after a change until it is asked for. */
+  /** Monotonic ms of the start of a shortage of serving instances. */
+  private shortageSince: number | undefined
+  /** Cached ranking of all instances; undefined after a change. */
   private ranked: readonly KnownInstance[] | undefined
 
   constructor (private readonly clock: Clock, private readonly self: KnownInstance) {}
@@ -35,18 +35,18 @@
     return this.entries.get(instance)?.peerAddress
   }
 
-  /** All other instances that are known. */
+  /** Lists all other instances. */
   list (): KnownInstance[] {
     return [...this.entries.values()].map(({ instance, peerAddress, dataHall, capacity }) => ({ instance, peerAddress, dataHall, capacity }))
   }
 
-  /** Takes what the store or a peer says of an instance. */
+  /** Adds or updates an instance found in the store or reported by a peer. */
   put (known: KnownInstance): void {
     if (known.instance === this.self.instance) return
     const { instance, peerAddress, dataHall, capacity } = known
-    const present = this.entries.get(instance)
-    if (present?.peerAddress === peerAddress && present.dataHall === dataHall && present.capacity === capacity) return
-    this.entries.set(instance, { instance, peerAddress, dataHall, capacity, missingSince: present?.missingSince })
+    const existing = this.entries.get(instance)
+    if (existing?.peerAddress === peerAddress && existing.dataHall === dataHall && existing.capacity === capacity) return
+    this.entries.set(instance, { instance, peerAddress, dataHall, capacity, unreachableSince: existing?.unreachableSince })
     this.ranked = undefined
   }
 
@@ -54,73 +54,73 @@
     if (this.entries.delete(instance)) this.ranked = undefined
   }
 
-  /** A link to it is up. */
+  /** Marks an instance as linked. */
   noteLinked (instance: string): void {
     const entry = this.entries.get(instance)
-    if (entry) entry.missingSince = undefined
+    if (entry) entry.unreachableSince = undefined
   }
 
-  /** A link to it is wanted, and there is none. */
-  noteMissing (instance: string): void {
+  /** Marks an instance as unreachable: a link to it is required but not open. */
+  noteUnreachable (instance: string): void {
     const entry = this.entries.get(instance)
-    if (entry) entry.missingSince ??= this.clock.readTime()
+    if (entry) entry.unreachableSince ??= this.clock.readTime()
   }
 
-  /** Instances that could not be reached for so long. */
-  listMissing (forMs: number): string[] {
-    return [...this.entries.values()].filter((it) => this.isMissing(it.instance, forMs)).map((it) => it.instance)
+  /** Lists instances that have been unreachable for longer than `durationMs`. */
+  listUnreachable (durationMs: number): string[] {
+    return [...this.entries.values()].filter((it) => this.isUnreachable(it.instance, durationMs)).map((it) => it.instance)
   }
 
-  /** Whether this instance comes first in the order of all that can be reached. */
-  isFirst (): boolean {
-    return this.rank().find((it) => !this.isMissing(it.instance, MISSING_MS))?.instance === this.self.instance
+  /** Whether this instance ranks first among the reachable ones. */
+  isFirstReachable (): boolean {
+    return this.rank().find((it) => !this.isUnreachable(it.instance, UNREACHABLE_MS))?.instance === this.self.instance
   }
 
   /**
-   * Whether this instance is to serve: the first in the order always do. While fewer serve than should, those behind them
-   * do too, the more of them the longer it lasts, since the next ones may be dead as well.
+   * Whether this instance should serve. The highest ranked always do. During a shortage, further instances step in by rank,
+   * more of them the longer it lasts, since the next ones may be down as well.
    */
-  isChosen (serving: ReadonlySet<string>): boolean {
-    const wanted = countServing(this.size)
+  isChosenToServe (serving: ReadonlySet<string>): boolean {
+    const servingCount = computeServingCount(this.size)
     const ranked = this.rank()
-    if (ranked.slice(0, wanted).some((it) => it.instance === this.self.instance)) return true
-    const lacking = wanted - serving.size
-    if (lacking <= 0) {
-      this.shortSince = undefined
+    if (ranked.slice(0, servingCount).some((it) => it.instance === this.self.instance)) return true
+    const shortage = servingCount - serving.size
+    if (shortage <= 0) {
+      this.shortageSince = undefined
       return false
     }
-    this.shortSince ??= this.clock.readTime()
-    const turns = Math.floor((this.clock.readTime() - this.shortSince) / MISSING_MS)
-    const next = ranked.slice(wanted).filter((it) => !serving.has(it.instance)).slice(0, turns * lacking)
-    return next.some((it) => it.instance === this.self.instance)
+    this.shortageSince ??= this.clock.readTime()
+    const rounds = Math.floor((this.clock.readTime() - this.shortageSince) / UNREACHABLE_MS)
+    const substitutes = ranked.slice(servingCount).filter((it) => !serving.has(it.instance)).slice(0, rounds * shortage)
+    return substitutes.some((it) => it.instance === this.self.instance)
   }
 
-  /** Instances to which one that serves keeps links: all that serve or should. */
+  /** Lists the peers of a serving instance: all that serve or should serve. */
   listServingNeighbours (serving: ReadonlySet<string>): KnownInstance[] {
-    const wanted = countServing(this.size)
-    return this.rank().filter((it, at) => it.instance !== this.self.instance && (at < wanted || serving.has(it.instance)))
+    const servingCount = computeServingCount(this.size)
+    return this.rank().filter((it, index) => it.instance !== this.self.instance && (index < servingCount || serving.has(it.instance)))
   }
 
-  /** A few instances that serve or should, others for each one on standby; unreachable ones stay, and others come beside them. */
+  /** Lists the peers of a standby instance: a few serving ones chosen by hash, plus one more for each that is unreachable. */
   listStandbyNeighbours (serving: ReadonlySet<string>): KnownInstance[] {
     const neighbours: KnownInstance[] = []
     let reachable = 0
     for (const it of listRanked(this.self.instance, this.listServingNeighbours(serving), (known) => known.instance)) {
-      if (reachable >= STANDBY_LINKS) break
-      if (!this.isMissing(it.instance, MISSING_MS)) reachable++
+      if (reachable >= STANDBY_LINK_COUNT) break
+      if (!this.isUnreachable(it.instance, UNREACHABLE_MS)) reachable++
       neighbours.push(it)
     }
     return neighbours
   }
 
-  /** Who serves is asked for many times a second, while instances seldom come or go. */
+  /** Cached, as the ranking is read many times a second but instances rarely change. */
   private rank (): readonly KnownInstance[] {
     this.ranked ??= rankServing([this.self, ...this.entries.values()])
     return this.ranked
   }
 
-  private isMissing (instance: string, forMs: number): boolean {
-    const since = this.entries.get(instance)?.missingSince
-    return since !== undefined && this.clock.readTime() - since > forMs
+  private isUnreachable (instance: string, durationMs: number): boolean {
+    const unreachableSince = this.entries.get(instance)?.unreachableSince
+    return unreachableSince !== undefined && this.clock.readTime() - unreachableSince > durationMs
   }
 }
--- a/membership/mesh/src/chooseServing.ts
+++ b/membership/mesh/src/chooseServing.ts
@@ -1,26 +1,23 @@
 import { hashText } from '@pulleystack/core.hashing'
 
-/** An instance that could serve clients. */
+/** An instance that may be selected to serve clients. */
 export interface ServingCandidate {
   instance: string
   dataHall: string
-  /** Processor cores that it may use. */
+  /** Processor cores available to the instance. */
   capacity: number
 }
 
-/** Up to so many instances all of them serve. */
-export const SMALL_SYSTEM = 12
-/**
- * Those that serve tell each other what they do, so that messages grow with the square of their number. With so many times the root of all instances they
- * grow as the system does: 16 of 63, 28 of 195, 38 of 350. At 195 with 40 that served, messages made most of 0.8 GB between data halls on one day.
- */
-const SERVING_PER_ROOT = 2
-/** How many of all instances serve clients. */
-export function countServing (total: number): number {
-  return total <= SMALL_SYSTEM ? total : Math.max(SMALL_SYSTEM, Math.ceil(SERVING_PER_ROOT * Math.sqrt(total)))
+/** In systems of up to this many instances, all of them serve. */
+export const SMALL_SYSTEM_INSTANCES = 12
+/** Serving instances exchange messages pairwise, so a count proportional to the square root of all instances makes the traffic grow linearly. */
+const SERVING_PER_SQRT = 2
+/** Returns how many of `total` instances should serve clients. */
+export function computeServingCount (total: number): number {
+  return total <= SMALL_SYSTEM_INSTANCES ? total : Math.max(SMALL_SYSTEM_INSTANCES, Math.ceil(SERVING_PER_SQRT * Math.sqrt(total)))
 }
 
-/** The order in which instances are to serve: data halls by turns, in each the most capable first; the same for all that know the same. */
+/** Ranks instances for serving: round-robin across data halls, highest capacity first within each. Deterministic for a given set of candidates. */
 export function rankServing<T extends ServingCandidate> (candidates: Iterable<T>): T[] {
   const halls = new Map<string, Array<HashedCandidate<T>>>()
   for (const candidate of candidates) {
@@ -29,11 +26,11 @@
     if (hall) hall.push(hashed)
     else halls.set(candidate.dataHall, [hashed])
   }
-  const turns = [...halls.values()].flatMap((hall) => hall.sort(compareInHall).map((hashed, turn) => ({ hashed, turn })))
-  return turns.sort((a, b) => a.turn - b.turn || compareInHall(a.hashed, b.hashed)).map((it) => it.hashed.candidate)
+  const positioned = [...halls.values()].flatMap((hall) => hall.sort(compareInHall).map((hashed, position) => ({ hashed, position })))
+  return positioned.sort((a, b) => a.position - b.position || compareInHall(a.hashed, b.hashed)).map((it) => it.hashed.candidate)
 }
 
-/** A candidate with the hash of its name, which sorting compares many times. */
+/** A candidate with the cached hash of its name. */
 interface HashedCandidate<T extends ServingCandidate> {
   candidate: T
   hash: number
--- a/membership/mesh/test/InstanceMesh.test.ts
+++ b/membership/mesh/test/InstanceMesh.test.ts
@@ -8,17 +8,17 @@
 import { EMPTY, Subject } from 'rxjs'
 import { InstanceMesh } from '../src/index.js'
 
-const OTHERS = 27
-const STANDING_BY = 8
-/** Lists are sent by five in a second at the most. */
-const MOMENT_MS = 1_000
-const LISTS_PER_MOMENT = 6
+const OTHER_COUNT = 27
+const STANDBY_COUNT = 8
+/** Lists are sent at most five times per second. */
+const BURST_MS = 1_000
+const MAX_LISTS_PER_BURST = 6
 
 function createIdentity (instance: string, standby: boolean): PeerIdentity {
   return { instance, incarnation: 1, address: `${instance}:1`, peerAddress: `${instance}:2`, region: '', dataHall: '', leaving: standby, standby }
 }
 
-describe('an instance that serves in a large system', () => {
+describe('InstanceMesh of a serving instance in a large system', () => {
   let clock: ManualClock
   let mesh: InstanceMesh
   let events: Subject<PeerEvent>
@@ -39,49 +39,49 @@
     const store = { epochs: new StoreEpochs(), listObjects: () => new Promise(() => undefined) } as unknown as ObjectStore
     mesh = new InstanceMesh({ clock, store, network, log: new SilentDecisionLog(), self: createIdentity('own', false), seeds: [], settleMs: 0 })
     mesh.start(new AbortController().signal)
-    for (let at = 0; at < STANDING_BY; at++) events.next({ kind: 'heard', identity: createIdentity(`standing${at}`, true) })
+    for (let index = 0; index < STANDBY_COUNT; index++) events.next({ kind: 'heard', identity: createIdentity(`standby${index}`, true) })
     lists = []
   })
 
-  it('tells those on standby of all that join at one time together', async () => {
-    for (let at = 0; at < OTHERS; at++) {
-      events.next({ kind: 'heard', identity: createIdentity(`e${at}`, false) })
-      await clock.advance(MOMENT_MS / OTHERS)
+  it('sends standby instances few lists when many instances join at once', async () => {
+    for (let index = 0; index < OTHER_COUNT; index++) {
+      events.next({ kind: 'heard', identity: createIdentity(`e${index}`, false) })
+      await clock.advance(BURST_MS / OTHER_COUNT)
     }
-    await clock.advance(MOMENT_MS)
-    assert.ok(lists.length <= STANDING_BY * LISTS_PER_MOMENT, `${lists.length} lists`)
-    for (let at = 0; at < STANDING_BY; at++) {
-      const newest = lists.filter(({ to }) => to === `standing${at}`).at(-1)
-      assert.equal(newest?.names.length, OTHERS + 1)
+    await clock.advance(BURST_MS)
+    assert.ok(lists.length <= STANDBY_COUNT * MAX_LISTS_PER_BURST, `${lists.length} lists`)
+    for (let index = 0; index < STANDBY_COUNT; index++) {
+      const latest = lists.filter(({ to }) => to === `standby${index}`).at(-1)
+      assert.equal(latest?.names.length, OTHER_COUNT + 1)
     }
   })
 
-  it('tells one that begins to stand by at once', () => {
+  it('sends the list immediately to an instance that goes on standby', () => {
     events.next({ kind: 'heard', identity: createIdentity('late', true) })
     assert.deepEqual(lists.map(({ to }) => to), ['late'])
     assert.deepEqual(mesh.listServing(), [])
   })
 
-  // A list that was on its way when a link fell silent never comes, and the next one would follow only with the next change.
-  it('tells one that stands by again when a new link to it is up', () => {
-    events.next({ kind: 'heard', identity: createIdentity('standing0', true), isNewLink: true })
-    events.next({ kind: 'heard', identity: createIdentity('standing0', true) })
-    assert.deepEqual(lists.map(({ to }) => to), ['standing0'])
+  // A list in transit when a link fails is lost, and the next one would follow only after the next change.
+  it('sends the list again over a new link to a standby instance', () => {
+    events.next({ kind: 'heard', identity: createIdentity('standby0', true), isNewLink: true })
+    events.next({ kind: 'heard', identity: createIdentity('standby0', true) })
+    assert.deepEqual(lists.map(({ to }) => to), ['standby0'])
   })
 })
 
-describe('an instance that stands by in a large system', () => {
-  const tellers = new Subject<{ from: string, body: PeerIdentity[] }>()
+describe('InstanceMesh of a standby instance in a large system', () => {
+  const receivedLists = new Subject<{ from: string, body: PeerIdentity[] }>()
   let events: Subject<PeerEvent>
   let mesh: InstanceMesh
 
-  const nameServing = (): string[] => mesh.listServing().map((identity) => identity.instance)
+  const listServingNames = (): string[] => mesh.listServing().map((identity) => identity.instance)
 
   beforeEach(() => {
     events = new Subject()
     const network = {
       peerEvents: events,
-      receive: () => tellers,
+      receive: () => receivedLists,
       handleCalls: () => undefined,
       setNeighbours: () => undefined,
       send: () => true,
@@ -89,56 +89,56 @@
     const store = { epochs: new StoreEpochs(), listObjects: () => new Promise(() => undefined) } as unknown as ObjectStore
     mesh = new InstanceMesh({ clock: new ManualClock(), store, network, log: new SilentDecisionLog(), self: createIdentity('own', true), seeds: [], settleMs: 0 })
     mesh.start(new AbortController().signal)
-    events.next({ kind: 'heard', identity: createIdentity('teller', false) })
+    events.next({ kind: 'heard', identity: createIdentity('reporter', false) })
   })
 
-  it('names those that it was told of', () => {
-    tellers.next({ from: 'teller', body: [createIdentity('teller', false), createIdentity('told', false)] })
-    assert.deepEqual(nameServing(), ['teller', 'told'])
+  it('lists serving instances reported by a peer', () => {
+    receivedLists.next({ from: 'reporter', body: [createIdentity('reporter', false), createIdentity('reported', false)] })
+    assert.deepEqual(listServingNames(), ['reporter', 'reported'])
   })
 
-  // What a peer says of itself is newer than what a third one says of it: an instance that had said that it leaves was named again.
-  it('believes a peer that leaves, not the list of another that does not know it yet', () => {
+  // The self-reported status of a peer is newer than the list of another instance.
+  it('does not list a leaving peer that another instance still reports', () => {
     events.next({ kind: 'heard', identity: createIdentity('leaver', false) })
     events.next({ kind: 'heard', identity: { ...createIdentity('leaver', false), leaving: true } })
-    tellers.next({ from: 'teller', body: [createIdentity('teller', false), createIdentity('leaver', false)] })
-    assert.deepEqual(nameServing(), ['teller'])
+    receivedLists.next({ from: 'reporter', body: [createIdentity('reporter', false), createIdentity('leaver', false)] })
+    assert.deepEqual(listServingNames(), ['reporter'])
   })
 
-  it('believes no list of a peer that leaves, which hears of no change any more', () => {
-    tellers.next({ from: 'teller', body: [createIdentity('teller', false), createIdentity('told', false)] })
-    events.next({ kind: 'heard', identity: { ...createIdentity('teller', false), leaving: true } })
-    assert.deepEqual(nameServing(), [])
+  it('ignores the list of a leaving peer', () => {
+    receivedLists.next({ from: 'reporter', body: [createIdentity('reporter', false), createIdentity('reported', false)] })
+    events.next({ kind: 'heard', identity: { ...createIdentity('reporter', false), leaving: true } })
+    assert.deepEqual(listServingNames(), [])
   })
 
   for (const kind of ['silent', 'closed'] as const) {
-    it(`forgets what it was told by a peer whose link is ${kind}`, () => {
-      tellers.next({ from: 'teller', body: [createIdentity('teller', false), createIdentity('told', false)] })
-      events.next({ kind, instance: 'teller' })
-      assert.deepEqual(nameServing(), [])
-      events.next({ kind: 'heard', identity: createIdentity('teller', false), isNewLink: true })
-      assert.deepEqual(nameServing(), ['teller'])
+    it(`discards the list of a peer whose link is ${kind}`, () => {
+      receivedLists.next({ from: 'reporter', body: [createIdentity('reporter', false), createIdentity('reported', false)] })
+      events.next({ kind, instance: 'reporter' })
+      assert.deepEqual(listServingNames(), [])
+      events.next({ kind: 'heard', identity: createIdentity('reporter', false), isNewLink: true })
+      assert.deepEqual(listServingNames(), ['reporter'])
     })
   }
 
-  it('believes a list that names a later life of a peer that had left', () => {
+  it('accepts a list with a new incarnation of a peer that was leaving', () => {
     events.next({ kind: 'heard', identity: { ...createIdentity('leaver', false), leaving: true } })
-    tellers.next({ from: 'teller', body: [{ ...createIdentity('leaver', false), incarnation: 2 }] })
-    assert.deepEqual(nameServing(), ['teller', 'leaver'])
+    receivedLists.next({ from: 'reporter', body: [{ ...createIdentity('leaver', false), incarnation: 2 }] })
+    assert.deepEqual(listServingNames(), ['reporter', 'leaver'])
   })
 })
 
-describe('an instance whose store comes back from an older copy', () => {
-  const KEY = 'instances/own'
-  const OTHER = 'instances/other'
-  /** All instances look within this time; listings are 15 s apart. */
-  const SOON_MS = 2_000
+describe('InstanceMesh after a restore of the store from an older snapshot', () => {
+  const OWN_KEY = 'instances/own'
+  const OTHER_KEY = 'instances/other'
+  /** Time for all instances to check their records; shorter than the 15 s between listings. */
+  const RECOVERY_MS = 2_000
   let clock: ManualClock
   let store: MemoryObjectStore
   let mesh: InstanceMesh
 
   const readVersion = async (key: string): Promise<number> => (await store.readObject(key))._unsafeUnwrap()?.version ?? 0
-  const lose = async (key: string): Promise<void> => {
+  const deleteRecord = async (key: string): Promise<void> => {
     await store.deleteObject(key, await readVersion(key))
   }
 
@@ -146,7 +146,7 @@
     clock = new ManualClock()
     store = new MemoryObjectStore({ clock })
     store.epochs.note(1)
-    await store.writeObject(OTHER, { peerAddress: 'other:2', dataHall: '', capacity: 1 }, 0)
+    await store.writeObject(OTHER_KEY, { peerAddress: 'other:2', dataHall: '', capacity: 1 }, 0)
     const network = {
       peerEvents: EMPTY,
       receive: () => EMPTY,
@@ -156,38 +156,38 @@
     } as unknown as WebSocketNetwork
     mesh = new InstanceMesh({ clock, store, network, log: new SilentDecisionLog(), self: createIdentity('own', false), seeds: [], settleMs: 0 })
     mesh.start(new AbortController().signal)
-    await clock.advance(SOON_MS)
+    await clock.advance(RECOVERY_MS)
   })
 
-  // Guards against an instance that nobody who starts later can find until the next listing.
-  it('writes its record again that was lost', async () => {
-    await lose(KEY)
+  // Otherwise instances that start later could not find this one until its next listing.
+  it('rewrites its own lost record', async () => {
+    await deleteRecord(OWN_KEY)
     store.epochs.note(2)
-    await clock.advance(SOON_MS)
-    assert.notEqual(await readVersion(KEY), 0)
+    await clock.advance(RECOVERY_MS)
+    assert.notEqual(await readVersion(OWN_KEY), 0)
   })
 
-  it('does so as soon as the store answers', async () => {
-    await lose(KEY)
+  it('rewrites its record once the store is available again', async () => {
+    await deleteRecord(OWN_KEY)
     store.epochs.note(2)
     store.faults.down = true
-    await clock.advance(SOON_MS)
+    await clock.advance(RECOVERY_MS)
     store.faults.down = false
-    await clock.advance(SOON_MS)
-    assert.notEqual(await readVersion(KEY), 0)
+    await clock.advance(RECOVERY_MS)
+    assert.notEqual(await readVersion(OWN_KEY), 0)
   })
 
-  it('asks for nothing where its record is older than any loss', async () => {
+  it('does not read the store when its record is too old to be lost', async () => {
     await clock.advance(120_000)
     const { reads } = store.counts
     store.epochs.note(2)
-    await clock.advance(SOON_MS)
+    await clock.advance(RECOVERY_MS)
     assert.equal(store.counts.reads, reads)
   })
 
-  // Guards against forgetting an instance that has not written itself again yet.
-  it('forgets no other whose record is not there again', async () => {
-    await lose(OTHER)
+  // Another instance may not have rewritten its record yet.
+  it('keeps another instance whose record is still missing', async () => {
+    await deleteRecord(OTHER_KEY)
     store.epochs.note(2)
     await clock.advance(20_000)
     assert.deepEqual(mesh.listOthers(), ['other'])
