--- a/membership/peers/test/PeerLink.test.ts
+++ b/membership/peers/test/PeerLink.test.ts
@@ -155,7 +155,7 @@
     })
   })
 
-  it('reports index most once per second', async () => {
+  it('reports at most once per second', async () => {
     for (let index = 0; index < 30; index++) {
       frames.note('b', 1)
       await clock.advance(100)
--- a/membership/peers/test/WebSocketNetwork.test.ts
+++ b/membership/peers/test/WebSocketNetwork.test.ts
@@ -75,7 +75,9 @@
   it('sends an identity that changed during the handshake', async () => {
     const addresses = new Map<string, string>()
     let reads = 0
-    const readIdentity = (): PeerIdentity => ({ instance: 'a', incarnation: 1, address: '', peerAddress: '', region: 'r', dataHall: 'h', leaving: reads++ === 0 })
+    const readIdentity = (): PeerIdentity => (
+      { instance: 'a', incarnation: 1, address: '', peerAddress: '', region: 'r', dataHall: 'h', leaving: reads++ === 0 }
+    )
     const [a, b] = [await start('a', addresses, { readIdentity }), await start('b', addresses)]
     const heard = new Promise<void>((resolve) => b.peerEvents.subscribe((event) => {
       if (event.kind === 'heard' && !event.identity.leaving) resolve()
