--- a/membership/view/src/ListCopy.ts
+++ b/membership/view/src/ListCopy.ts
@@ -1,66 +1,66 @@
 import type { ListedInstance } from '@pulleystack/backend.interfaces'
 import equal from 'fast-deep-equal'
 
-/** What changed in the platform's list between two readings. */
+/** Changes of the platform's list between two reads. */
 export interface ListChanges {
-  /** Wall time at which the reading that showed it was asked for. */
+  /** Wall-clock time in ms at which the read was requested. */
   asOf: number
   changed: ListedInstance[]
   removed: string[]
 }
 
-interface HeldEntry {
+interface VersionedEntry {
   asOf: number
-  /** Undefined when it was removed. */
+  /** Undefined for a tombstone. */
   entry: ListedInstance | undefined
 }
 
-// A removal is remembered for so long, so that an older change that comes late doesn't bring the entry back.
-const KEEP_REMOVED_MS = 60_000
+// Tombstones are kept so that older changes arriving late don't restore a removed entry.
+const TOMBSTONE_RETENTION_MS = 60_000
 
-/** One instance's copy of the platform's list, from its own readings and from what readers tell. */
+/** An instance's copy of the platform's list, from its own reads and from changes sent by other readers. */
 export class ListCopy {
-  private readonly held = new Map<string, HeldEntry>()
+  private readonly entries = new Map<string, VersionedEntry>()
 
   get size (): number {
-    return this.held.size
+    return this.entries.size
   }
 
   list (): ListedInstance[] {
-    return [...this.held.values()].flatMap((it) => it.entry ?? [])
+    return [...this.entries.values()].flatMap((it) => it.entry ?? [])
   }
 
-  /** Takes a whole reading; gives what it changed, if anything. */
+  /** Applies a complete read; returns the changes, or undefined without any. */
   replace (listed: readonly ListedInstance[], asOf: number): ListChanges | undefined {
     const ids = new Set(listed.map((entry) => entry.id))
-    const changed = listed.filter((entry) => !equal(this.held.get(entry.id)?.entry, entry))
-    const removed = [...this.held].filter(([id, it]) => it.entry !== undefined && !ids.has(id)).map(([id]) => id)
-    this.forgetRemoved(asOf)
+    const changed = listed.filter((entry) => !equal(this.entries.get(entry.id)?.entry, entry))
+    const removed = [...this.entries].filter(([id, it]) => it.entry !== undefined && !ids.has(id)).map(([id]) => id)
+    this.removeExpiredTombstones(asOf)
     if (changed.length === 0 && removed.length === 0) return undefined
     const changes = { asOf, changed: [...changed], removed }
     this.apply(changes)
     return changes
   }
 
-  /** Takes changes; false when all that they say is known or older than what is held. */
+  /** Applies changes; returns false when all of them are known or outdated. */
   apply (changes: ListChanges): boolean {
-    let news = false
-    for (const entry of changes.changed) news = this.set(entry.id, entry, changes.asOf) || news
-    for (const id of changes.removed) news = this.set(id, undefined, changes.asOf) || news
-    return news
+    let isChanged = false
+    for (const entry of changes.changed) isChanged = this.set(entry.id, entry, changes.asOf) || isChanged
+    for (const id of changes.removed) isChanged = this.set(id, undefined, changes.asOf) || isChanged
+    return isChanged
   }
 
   private set (id: string, entry: ListedInstance | undefined, asOf: number): boolean {
-    const held = this.held.get(id)
-    if (held && (held.asOf > asOf || equal(held.entry, entry))) return false
-    if (!held && entry === undefined) return false
-    this.held.set(id, { asOf, entry })
+    const existing = this.entries.get(id)
+    if (existing && (existing.asOf > asOf || equal(existing.entry, entry))) return false
+    if (!existing && entry === undefined) return false
+    this.entries.set(id, { asOf, entry })
     return true
   }
 
-  private forgetRemoved (now: number): void {
-    for (const [id, it] of this.held) {
-      if (it.entry === undefined && now - it.asOf > KEEP_REMOVED_MS) this.held.delete(id)
+  private removeExpiredTombstones (now: number): void {
+    for (const [id, it] of this.entries) {
+      if (it.entry === undefined && now - it.asOf > TOMBSTONE_RETENTION_MS) this.entries.delete(id)
     }
   }
 }
--- a/membership/view/src/MembershipView.ts
+++ b/membership/view/src/MembershipView.ts
@@ -8,31 +8,31 @@
 export const MemberStates = { LIVE: 'live', LEAVING: 'leaving', SUSPECT: 'suspect' } as const
 export type MemberState = typeof MemberStates[keyof typeof MemberStates]
 
-/** One entry instance as this one sees it. */
+/** An entry instance and its state as seen by this one. */
 export interface Member extends PeerIdentity {
   state: MemberState
-  /** In the platform's list at its last reading. */
+  /** Whether the last read of the platform's list included it. */
   listed: boolean
-  /** Monotone time at which anything was last heard of it. */
+  /** Monotonic time of the last sign of life, in ms. */
   heardAt: number
 }
 
-/** A change of an entry instance's state, to be passed on as a rumour. */
+/** A change of an entry instance, to be spread as a rumour. */
 export interface MemberChange {
   member: Member
   before: MemberState | undefined
 }
 
-/** What instances tell each other about a third. */
+/** A gossip message about an instance. */
 export interface Rumour {
   identity: PeerIdentity
   suspect: boolean
 }
 
-// An instance that is neither listed nor heard for so long is forgotten.
-const FORGET_MS = 15_000
+// An instance that has been neither listed nor heard from for longer than this is removed.
+const REMOVE_AFTER_MS = 15_000
 
-/** Joins the lagging list, what links show and what peers tell to one picture of who is there. */
+/** Merges the platform's list, which may lag, with the state of links and with gossip into one view of the members. */
 export class MembershipView {
   private readonly members = new Map<string, Member>()
   private servers = new Map<string, ListedInstance>()
@@ -55,12 +55,12 @@
     return this.members.get(this.opts.self.instance) as Member
   }
 
-  /** Every entry instance known, suspects included. */
+  /** Lists all known entry instances, including suspected ones. */
   listMembers (): Member[] {
     return [...this.members.values()]
   }
 
-  /** Instances that may own work and be given to callers. */
+  /** Lists the instances that may own work and be returned to callers. */
   listEligible (): Member[] {
     return this.listMembers().filter((member) => member.state === MemberStates.LIVE)
   }
@@ -77,7 +77,7 @@
     return this.servers.get(id)
   }
 
-  /** The instance that should do a piece of work; whether it may is for the object API to say. */
+  /** Finds the preferred owner of a key, which may act only with a grant from the object store. */
   findOwner (key: string): string {
     return findOwner(key, this.listEligible().map((member) => member.instance)) ?? this.opts.self.instance
   }
@@ -86,7 +86,7 @@
     return this.findOwner(key) === this.opts.self.instance
   }
 
-  /** Takes the platform's list as just read. */
+  /** Applies a read of the platform's list. */
   applyList (list: readonly ListedInstance[]): void {
     const entries = list.filter((it) => it.role === InstanceRoles.ENTRY)
     const servers = new Map(list.filter((it) => it.role !== InstanceRoles.ENTRY).map((it) => [it.id, it]))
@@ -100,30 +100,30 @@
     this.serversChanged.next()
   }
 
-  /** A peer was heard over a link, which outweighs any suspicion. */
+  /** Records a sign of life over a link, which overrides any suspicion. */
   noteHeard (identity: PeerIdentity): void {
-    const present = this.members.get(identity.instance)
-    if (present && identity.incarnation < present.incarnation) return
+    const existing = this.members.get(identity.instance)
+    if (existing && identity.incarnation < existing.incarnation) return
     if (identity.instance === this.opts.self.instance) return
     const state = identity.leaving ? MemberStates.LEAVING : MemberStates.LIVE
-    this.setMember({ ...identity, state, listed: present?.listed ?? false, heardAt: this.opts.clock.readTime() })
+    this.setMember({ ...identity, state, listed: existing?.listed ?? false, heardAt: this.opts.clock.readTime() })
   }
 
-  /** A peer that should answer does not. */
+  /** Marks a peer that does not answer as suspected. */
   noteSilent (instance: string): void {
     const member = this.members.get(instance)
     if (member && instance !== this.opts.self.instance) this.setMember({ ...member, state: MemberStates.SUSPECT })
   }
 
-  /** Takes a rumour; true when it told something new and should be passed on. */
+  /** Applies a rumour; returns true when it is new and should be spread. */
   applyRumour (rumour: Rumour): boolean {
     const { identity } = rumour
     if (identity.instance === this.opts.self.instance) return this.refute(rumour)
-    const present = this.members.get(identity.instance)
-    if (present && identity.incarnation < present.incarnation) return false
+    const existing = this.members.get(identity.instance)
+    if (existing && identity.incarnation < existing.incarnation) return false
     const state = chooseState(rumour)
-    if (present && identity.incarnation === present.incarnation && getRank(state) <= getRank(present.state)) return false
-    this.setMember({ ...identity, state, listed: present?.listed ?? false, heardAt: present?.heardAt ?? this.opts.clock.readTime() })
+    if (existing && identity.incarnation === existing.incarnation && getPrecedence(state) <= getPrecedence(existing.state)) return false
+    this.setMember({ ...identity, state, listed: existing?.listed ?? false, heardAt: existing?.heardAt ?? this.opts.clock.readTime() })
     return true
   }
 
@@ -141,10 +141,10 @@
   }
 
   private applyListed (entry: ListedInstance): void {
-    const present = this.members.get(entry.id)
-    if (present) {
-      const state = entry.leaving && present.state === MemberStates.LIVE ? MemberStates.LEAVING : present.state
-      this.setMember({ ...present, state, listed: true, leaving: present.leaving || entry.leaving })
+    const existing = this.members.get(entry.id)
+    if (existing) {
+      const state = entry.leaving && existing.state === MemberStates.LIVE ? MemberStates.LEAVING : existing.state
+      this.setMember({ ...existing, state, listed: true, leaving: existing.leaving || entry.leaving })
       return
     }
     this.setMember({
@@ -163,15 +163,15 @@
 
   private applyUnlisted (member: Member): void {
     if (member.instance === this.opts.self.instance) return
-    if (this.opts.clock.readTime() - member.heardAt > FORGET_MS) this.members.delete(member.instance)
+    if (this.opts.clock.readTime() - member.heardAt > REMOVE_AFTER_MS) this.members.delete(member.instance)
     else if (member.listed) this.members.set(member.instance, { ...member, listed: false })
   }
 
   private setMember (member: Member): void {
-    const before = this.members.get(member.instance)
+    const previous = this.members.get(member.instance)
     this.members.set(member.instance, member)
-    if (before?.state === member.state && before.incarnation === member.incarnation && before.peerAddress === member.peerAddress) return
-    this.memberChanged.next({ member, before: before?.state })
+    if (previous?.state === member.state && previous.incarnation === member.incarnation && previous.peerAddress === member.peerAddress) return
+    this.memberChanged.next({ member, before: previous?.state })
   }
 }
 
@@ -180,7 +180,7 @@
   return rumour.identity.leaving ? MemberStates.LEAVING : MemberStates.LIVE
 }
 
-// Within one incarnation bad news goes before good; only a higher incarnation or the instance itself takes it back.
-function getRank (state: MemberState): number {
+// Within an incarnation the worse state wins; only a higher incarnation or the instance itself can override it.
+function getPrecedence (state: MemberState): number {
   return state === MemberStates.LIVE ? 0 : state === MemberStates.LEAVING ? 1 : 2
 }
--- a/membership/view/test/MembershipView.test.ts
+++ b/membership/view/test/MembershipView.test.ts
@@ -5,55 +5,55 @@
 import { createView } from '@pulleystack/tools.testing'
 import { listNeighbours } from '../src/index.js'
 
-function createBench () {
+function createFixture () {
   const clock = new ManualClock()
   return { clock, ...createView(clock, 'a', ['a', 'b', 'c']) }
 }
 
-function identityOf (instance: string, change: { incarnation?: number, leaving?: boolean } = {}) {
-  return { instance, incarnation: 1, address: 'x', peerAddress: 'y', region: 'r', dataHall: 'h', leaving: false, ...change }
+function createIdentity (instance: string, overrides: { incarnation?: number, leaving?: boolean } = {}) {
+  return { instance, incarnation: 1, address: 'x', peerAddress: 'y', region: 'r', dataHall: 'h', leaving: false, ...overrides }
 }
 
 describe('MembershipView', () => {
-  it('lets an instance own nothing from the moment it is suspected', () => {
-    const { view } = createBench()
+  it('excludes a suspected instance from the eligible ones', () => {
+    const { view } = createFixture()
     view.noteSilent('b')
     assert.deepEqual(view.listEligible().map((member) => member.instance), ['a', 'c'])
   })
 
-  it('takes a false suspicion back when the instance is heard', () => {
-    const { view } = createBench()
+  it('clears a false suspicion when the instance is heard from', () => {
+    const { view } = createFixture()
     view.noteSilent('b')
-    view.noteHeard(identityOf('b'))
+    view.noteHeard(createIdentity('b'))
     assert.equal(view.findMember('b')?.state, 'live')
   })
 
-  it('believes a rumour of suspicion until a higher incarnation contradicts it', () => {
-    const { view } = createBench()
-    assert.equal(view.applyRumour({ identity: identityOf('b'), suspect: true }), true)
-    assert.equal(view.applyRumour({ identity: identityOf('b'), suspect: false }), false)
+  it('accepts a rumour of suspicion until a higher incarnation refutes it', () => {
+    const { view } = createFixture()
+    assert.equal(view.applyRumour({ identity: createIdentity('b'), suspect: true }), true)
+    assert.equal(view.applyRumour({ identity: createIdentity('b'), suspect: false }), false)
     assert.equal(view.findMember('b')?.state, 'suspect')
-    assert.equal(view.applyRumour({ identity: identityOf('b', { incarnation: 2 }), suspect: false }), true)
+    assert.equal(view.applyRumour({ identity: createIdentity('b', { incarnation: 2 }), suspect: false }), true)
     assert.equal(view.findMember('b')?.state, 'live')
   })
 
-  it('contradicts a suspicion of itself', () => {
-    const { view } = createBench()
+  it('refutes a suspicion of itself', () => {
+    const { view } = createFixture()
     const before = view.self.incarnation
-    view.applyRumour({ identity: identityOf('a', { incarnation: before }), suspect: true })
+    view.applyRumour({ identity: createIdentity('a', { incarnation: before }), suspect: true })
     assert.ok(view.self.incarnation > before)
     assert.equal(view.self.state, 'live')
   })
 
-  it('gives a leaving instance no work while the list does not know yet', () => {
-    const { view } = createBench()
-    view.noteHeard(identityOf('b', { incarnation: 2, leaving: true }))
+  it('excludes a leaving instance before the list shows that it leaves', () => {
+    const { view } = createFixture()
+    view.noteHeard(createIdentity('b', { incarnation: 2, leaving: true }))
     assert.equal(view.listEligible().some((member) => member.instance === 'b'), false)
   })
 
-  it('does not forget an instance that the list does not name yet while it is heard', async () => {
-    const { view, clock } = createBench()
-    view.noteHeard(identityOf('new'))
+  it('keeps an instance that is not listed yet until it has not been heard from for some time', async () => {
+    const { view, clock } = createFixture()
+    view.noteHeard(createIdentity('new'))
     view.applyList([])
     assert.ok(view.findMember('new'))
     await clock.advance(20_000)
@@ -61,8 +61,8 @@
     assert.equal(view.findMember('new'), undefined)
   })
 
-  it('tells of changes of backend servers only when there are any', () => {
-    const { view } = createBench()
+  it('emits server changes only when servers have changed', () => {
+    const { view } = createFixture()
     const server: ListedInstance = { id: 's', role: InstanceRoles.PLAIN, address: 'x', region: 'r', dataHall: 'h', leaving: false, labels: {} }
     let changes = 0
     view.serverChanges.subscribe(() => changes++)
@@ -76,11 +76,11 @@
 describe('listNeighbours', () => {
   const names = Array.from({ length: 350 }, (_, i) => `entry-${i}`)
 
-  it('keeps few links however many instances there are', () => {
+  it('limits the links per instance in a large system', () => {
     for (const name of names) assert.ok(listNeighbours(name, names.filter((it) => it !== name)).length <= 4)
   })
 
-  it('lets what one instance tells reach all in a few steps', () => {
+  it('connects all instances within a few hops', () => {
     const links = new Map(names.map((name) => [name, new Set<string>()]))
     for (const name of names) {
       for (const other of listNeighbours(name, names.filter((it) => it !== name))) {
@@ -97,7 +97,7 @@
     assert.ok(steps <= 8, `${steps} steps`)
   })
 
-  it('has every instance watched by some other', () => {
+  it('makes every instance a neighbour of another one', () => {
     const watched = new Set(names.flatMap((name) => listNeighbours(name, names.filter((it) => it !== name))))
     assert.equal(watched.size, names.length)
   })
--- a/membership/view/test/startMembership.test.ts
+++ b/membership/view/test/startMembership.test.ts
@@ -43,7 +43,7 @@
 }
 
 describe('startMembership', () => {
-  it('tells every instance of a leaving server within two readings, though few read the list', async () => {
+  it('informs every instance of a leaving server within two polls, though few instances read the list', async () => {
     const fleet = await startFleet(20)
     fleet.memory.setInstance(SERVER)
     await fleet.clock.advance(2_500)
@@ -67,14 +67,14 @@
 })
 
 describe('ListCopy', () => {
-  it('does not let a change that comes late undo a newer one', () => {
+  it('ignores a late change that is older than the current entry', () => {
     const copy = new ListCopy()
     copy.apply({ asOf: 5, changed: [{ ...SERVER, leaving: true }], removed: [] })
     assert.equal(copy.apply({ asOf: 4, changed: [SERVER], removed: [] }), false)
     assert.equal(copy.list()[0]?.leaving, true)
   })
 
-  it('does not bring a removed entry back', () => {
+  it('does not restore a removed entry', () => {
     const copy = new ListCopy()
     copy.apply({ asOf: 4, changed: [SERVER], removed: [] })
     copy.apply({ asOf: 6, changed: [], removed: ['s'] })
@@ -82,7 +82,7 @@
     assert.deepEqual(copy.list(), [])
   })
 
-  it('says what a reading changed', () => {
+  it('returns the changes of a read', () => {
     const copy = new ListCopy()
     assert.deepEqual(copy.replace([SERVER], 1)?.changed, [SERVER])
     assert.equal(copy.replace([SERVER], 2), undefined)
