--- a/membership/keys/src/accessKeys.ts
+++ b/membership/keys/src/accessKeys.ts
@@ -3,18 +3,18 @@
 
 const KEY_BYTES = 24
 
-/** A fresh access key; only its hash is ever stored. */
+/** Creates a random access key. Only its hash is stored. */
 export function createAccessKey (prefix = 'pk'): string {
   return `${prefix}_${randomBytes(KEY_BYTES).toString('base64url')}`
 }
 
-/** Compares a key with stored hashes in constant time; looks at all of them. */
+/** Whether a key matches one of the stored hashes. Takes constant time and compares all of them. */
 export function matchKeyHash (key: string, hashes: readonly string[]): boolean {
-  const given = Buffer.from(hashAccessKey(key))
-  let found = false
-  for (const keyHash of hashes) {
-    const stored = Buffer.from(keyHash)
-    if (stored.length === given.length && timingSafeEqual(stored, given)) found = true
+  const candidate = Buffer.from(hashAccessKey(key))
+  let isMatch = false
+  for (const hash of hashes) {
+    const stored = Buffer.from(hash)
+    if (stored.length === candidate.length && timingSafeEqual(stored, candidate)) isMatch = true
   }
-  return found
+  return isMatch
 }
