--- a/membership/fake-network/src/FakeNetwork.ts
+++ b/membership/fake-network/src/FakeNetwork.ts
@@ -4,39 +4,39 @@
 import { err, ok, type Result } from 'neverthrow'
 import { filter, map, Subject, type Observable } from 'rxjs'
 
-/** Names of channels add little to what is measured. */
-const ANY = defineChannel<unknown>('any')
+/** Used to measure messages, to whose size the channel name adds little. */
+const SAMPLE_CHANNEL = defineChannel<unknown>('any')
 
-/** A node's way out: all that it sends leaves one after the other. */
+/** A node's outgoing bandwidth, shared by all its messages. */
 interface Uplink {
   bytesPerSecond: number
-  /** Time at which everything sent so far has left. */
-  freeAt: number
+  /** Monotonic time in ms at which everything sent so far has been transmitted. */
+  idleAt: number
   sentBytes: number
 }
 
-/** A direction in which nothing arrives for now, and what waits there. */
-interface HeldDirection {
+/** A route on which messages are held back. */
+interface HeldRoute {
   from: string
   to: string
-  waiting: (() => void)[]
+  pending: (() => void)[]
 }
 
-/** What carries the messages of all fake networks of one test. */
+/** Delivers the messages between the fake networks of a test. */
 export class FakeHub {
-  /** Share of messages lost, and repeated. */
+  /** Probabilities that a message is lost or duplicated, from 0 to 1. */
   lossShare = 0
   repeatShare = 0
-  /** Messages take up to this long, each its own time, so that they overtake each other. */
+  /** Maximum random delay per message, which also reorders messages. */
   maxDelayMs = 0
   messages = 0
   private readonly nodes = new Map<string, FakeNetwork>()
-  private readonly cuts = new Set<string>()
+  private readonly partitions = new Set<string>()
   private readonly uplinks = new Map<string, Uplink>()
-  /** Milliseconds that messages take from one node to another, beside all else. */
+  /** Additional delays per route in milliseconds. */
   private readonly delays = new Map<string, number>()
-  private held: HeldDirection[] = []
-  /** Milliseconds by which nodes' monotone clocks are ahead of the common one; undefined for clocks that no peer knows. */
+  private heldRoutes: HeldRoute[] = []
+  /** Milliseconds by which nodes' monotonic clocks are ahead of the common one; undefined for clocks unknown to peers. */
   readonly timeOffsets = new Map<string, number | undefined>()
 
   constructor (readonly opts: { clock: Clock, random: RandomSource }) {}
@@ -56,33 +56,33 @@
   }
 
   cut (a: string, b: string): void {
-    this.cuts.add(`${a}|${b}`).add(`${b}|${a}`)
+    this.partitions.add(`${a}|${b}`).add(`${b}|${a}`)
   }
 
   healAll (): void {
-    this.cuts.clear()
+    this.partitions.clear()
   }
 
   isCut (a: string, b: string): boolean {
-    return this.cuts.has(`${a}|${b}`)
+    return this.partitions.has(`${a}|${b}`)
   }
 
-  /** Bounds what a node can send. */
+  /** Limits a node's outgoing bandwidth. */
   setUplink (instance: string, bytesPerSecond: number): void {
-    this.uplinks.set(instance, { bytesPerSecond, freeAt: -Infinity, sentBytes: 0 })
+    this.uplinks.set(instance, { bytesPerSecond, idleAt: -Infinity, sentBytes: 0 })
   }
 
-  /** Puts bytes on a node's uplink, also such as go elsewhere than to peers; gives the milliseconds until they have left. */
+  /** Adds traffic to a node's uplink, not only to peers; returns the milliseconds until it has been transmitted. */
   putOnUplink (instance: string, bytes: number): number {
     const uplink = this.uplinks.get(instance)
     if (!uplink) return 0
     const now = this.opts.clock.readTime()
     uplink.sentBytes += bytes
-    uplink.freeAt = Math.max(now, uplink.freeAt) + bytes / uplink.bytesPerSecond * 1000
-    return uplink.freeAt - now
+    uplink.idleAt = Math.max(now, uplink.idleAt) + bytes / uplink.bytesPerSecond * 1000
+    return uplink.idleAt - now
   }
 
-  /** Bytes that a node with a bounded uplink has sent. */
+  /** Returns the bytes sent by a node with a limited uplink. */
   countSentBytes (instance: string): number {
     return this.uplinks.get(instance)?.sentBytes ?? 0
   }
@@ -91,45 +91,45 @@
     this.delays.set(`${from}|${to}`, ms)
   }
 
-  /** Keeps back what goes from one node to another, as a silent cut or a process that does not run does. */
+  /** Holds back messages from one node to another, as a partition or a suspended process does. */
   hold (from: string, to: string): void {
-    this.held.push({ from, to, waiting: [] })
+    this.heldRoutes.push({ from, to, pending: [] })
   }
 
-  /** Delivers all that was kept back, in its order. */
+  /** Delivers all messages held back, in order. */
   releaseAll (): void {
-    const held = this.held
-    this.held = []
-    for (const { waiting } of held) waiting.forEach((deliver) => deliver())
+    const heldRoutes = this.heldRoutes
+    this.heldRoutes = []
+    for (const { pending } of heldRoutes) pending.forEach((deliver) => deliver())
   }
 
   listOthers (instance: string): string[] {
     return [...this.nodes.keys()].filter((other) => other !== instance && !this.isCut(instance, other))
   }
 
-  /** As PeerNetwork.convertTime does. */
-  convertTime (from: string, to: string, theirTime: number): number | undefined {
-    const [theirs, own] = [from, to].map((instance) => this.timeOffsets.has(instance) ? this.timeOffsets.get(instance) : 0)
-    return theirs === undefined || own === undefined ? undefined : theirTime - theirs + own
+  /** See `PeerNetwork.convertTime`. */
+  convertTime (from: string, to: string, peerTime: number): number | undefined {
+    const [peerOffset, ownOffset] = [from, to].map((instance) => this.timeOffsets.has(instance) ? this.timeOffsets.get(instance) : 0)
+    return peerOffset === undefined || ownOffset === undefined ? undefined : peerTime - peerOffset + ownOffset
   }
 
-  /** Carries one message, or loses it. */
-  carry (from: string, to: string, body: unknown, deliver: (node: FakeNetwork) => void): void {
+  /** Sends a message, subject to the configured faults. */
+  sendMessage (from: string, to: string, body: unknown, deliver: (node: FakeNetwork) => void): void {
     this.messages++
     const { random, clock } = this.opts
-    const sentMs = this.uplinks.has(from) ? this.putOnUplink(from, measureSend(ANY, body)) : 0
+    const sentMs = this.uplinks.has(from) ? this.putOnUplink(from, measureSend(SAMPLE_CHANNEL, body)) : 0
     if (random.readFraction() < this.lossShare) return
-    const times = random.readFraction() < this.repeatShare ? 2 : 1
+    const copies = random.readFraction() < this.repeatShare ? 2 : 1
     const delayMs = sentMs + (this.delays.get(`${from}|${to}`) ?? 0)
-    for (let i = 0; i < times; i++) {
-      clock.setTimer(delayMs + random.readFraction() * this.maxDelayMs, () => this.passOn(from, to, deliver))
+    for (let i = 0; i < copies; i++) {
+      clock.setTimer(delayMs + random.readFraction() * this.maxDelayMs, () => this.handleArrival(from, to, deliver))
     }
   }
 
-  private passOn (from: string, to: string, deliver: (node: FakeNetwork) => void): void {
-    const held = this.held.find((direction) => direction.from === from && direction.to === to)
-    if (held) {
-      held.waiting.push(() => this.passOn(from, to, deliver))
+  private handleArrival (from: string, to: string, deliver: (node: FakeNetwork) => void): void {
+    const heldRoute = this.heldRoutes.find((route) => route.from === from && route.to === to)
+    if (heldRoute) {
+      heldRoute.pending.push(() => this.handleArrival(from, to, deliver))
       return
     }
     const node = this.nodes.get(to)
@@ -137,7 +137,7 @@
   }
 }
 
-/** One instance's side of the hub. */
+/** The network of one instance, connected to the hub. */
 export class FakeNetwork extends PeerNetwork {
   readonly handlers = new Map<string, CallHandler<unknown, unknown>>()
   readonly received = new Subject<{ from: string, channel: string, body: unknown }>()
@@ -155,8 +155,8 @@
     return 0
   }
 
-  convertTime (instance: string, theirTime: number): number | undefined {
-    return this.hub.convertTime(instance, this.identity.instance, theirTime)
+  convertTime (instance: string, peerTime: number): number | undefined {
+    return this.hub.convertTime(instance, this.identity.instance, peerTime)
   }
 
   listLinked (): string[] {
@@ -169,7 +169,7 @@
     const from = this.identity.instance
     if (!this.hub.findNode(to) || this.hub.isCut(from, to)) return false
     const copy = structuredClone(body)
-    this.hub.carry(from, to, body, (node) => node.received.next({ from, channel: channel.name, body: copy }))
+    this.hub.sendMessage(from, to, body, (node) => node.received.next({ from, channel: channel.name, body: copy }))
     return true
   }
 
@@ -186,10 +186,10 @@
       return Promise.resolve(err(new PulleystackError('INSTANCE_UNREACHABLE', `${to} cannot be reached`, { ran: Ran.NO })))
     }
     return new Promise((resolve) => {
-      const failed = new PulleystackError('INSTANCE_UNREACHABLE', `${to} did not answer`, { ran: Ran.UNKNOWN })
-      const cancel = this.hub.opts.clock.setTimer(timeoutMs, () => resolve(err(failed)))
-      this.hub.carry(from, to, body, (node) => void node.answer(from, channel.name, structuredClone(body)).then((answer) => {
-        this.hub.carry(to, from, answer.isOk() ? answer.value : null, () => {
+      const timeoutError = new PulleystackError('INSTANCE_UNREACHABLE', `${to} did not answer`, { ran: Ran.UNKNOWN })
+      const cancel = this.hub.opts.clock.setTimer(timeoutMs, () => resolve(err(timeoutError)))
+      this.hub.sendMessage(from, to, body, (node) => void node.answer(from, channel.name, structuredClone(body)).then((answer) => {
+        this.hub.sendMessage(to, from, answer.isOk() ? answer.value : null, () => {
           cancel()
           resolve(answer as Result<Answer, PulleystackError>)
         })
