--- a/directory/subset/src/buildDirectoryAnswer.ts
+++ b/directory/subset/src/buildDirectoryAnswer.ts
@@ -3,20 +3,20 @@
 export interface DirectoryAddress {
   address: string
   dataHall: string
-  /** Share of a caller's requests that should go there, relative to the others. */
+  /** Relative share of the caller's requests for this address. */
   weight: number
 }
 
 export interface DirectoryAnswer {
   service: string
   addresses: DirectoryAddress[]
-  /** Seconds for which the addresses are served, planned stops included. */
+  /** Seconds for which the addresses remain served, including during planned stops. */
   lifetimeSeconds: number
 }
 
 const WEIGHTS = { SAME_HALL: 100, SAME_REGION: 40, ELSEWHERE: 5 } as const
 
-/** What a caller in a place is told: nearest first, all with a weight, for a stated time. */
+/** Builds the answer for a caller in the given region and data hall: weighted addresses, nearest first. */
 export function buildDirectoryAnswer (opts: {
   service: string
   members: readonly SubsetMember[]
@@ -29,8 +29,8 @@
   return { service: opts.service, addresses, lifetimeSeconds: opts.lifetimeSeconds }
 }
 
-function computeWeight (member: SubsetMember, place: { region?: string, dataHall?: string }): number {
-  if (place.dataHall === undefined || member.dataHall === place.dataHall) return WEIGHTS.SAME_HALL
-  if (place.region === undefined || member.region === place.region) return WEIGHTS.SAME_REGION
+function computeWeight (member: SubsetMember, caller: { region?: string, dataHall?: string }): number {
+  if (caller.dataHall === undefined || member.dataHall === caller.dataHall) return WEIGHTS.SAME_HALL
+  if (caller.region === undefined || member.region === caller.region) return WEIGHTS.SAME_REGION
   return WEIGHTS.ELSEWHERE
 }
