--- a/routing/quarantine/src/RunLeases.ts
+++ b/routing/quarantine/src/RunLeases.ts
@@ -1,23 +1,23 @@
 import type { Clock } from '@pulleystack/core.clock'
 
-/** What the owner of a request answers to an instance that wants to run it. */
-export interface LeaseAnswer {
+/** The owner's response to a lease request. */
+export interface LeaseResponse {
   isGranted: boolean
-  /** No other run of the request is known to be under way. */
+  /** The owner knows of no other run in progress. */
   isOnly: boolean
 }
 
-/** The runs of suspects that are under way, as the instance knows them that keeps count for all. */
+/** Leases for runs of the suspects that this instance owns. */
 export class RunLeases {
-  /** Monotone times at which runs have surely ended, by request and lease. */
+  /** Monotonic times at which leases expire, by request and lease. */
   private readonly leases = new Map<string, Map<string, number>>()
 
   constructor (private readonly clock: Clock) {}
 
-  /** Enters a run, unless it has to be the only one and isn't. */
-  acquire (identity: string, lease: string, { forMs, mustBeOnly }: { forMs: number, mustBeOnly: boolean }): LeaseAnswer {
+  /** Grants a lease unless it must be the only one and another is active. */
+  acquire (identity: string, lease: string, { forMs, mustBeOnly }: { forMs: number, mustBeOnly: boolean }): LeaseResponse {
     const now = this.clock.readTime()
-    const running = [...this.leases.get(identity) ?? []].filter(([, until]) => until > now)
+    const running = [...this.leases.get(identity) ?? []].filter(([, expiresAt]) => expiresAt > now)
     const isOnly = running.length === 0
     const isGranted = isOnly || !mustBeOnly
     if (isGranted) this.leases.set(identity, new Map([...running, [lease, now + forMs]]))
--- a/routing/quarantine/src/Suspect.ts
+++ b/routing/quarantine/src/Suspect.ts
@@ -1,69 +1,69 @@
-/** Ends that are kept of one request; older good ones go first. */
-const MAX_ENDS = 32
+/** Maximum number of crashes recorded per request; the oldest cleared ones are dropped first. */
+const MAX_CRASHES = 32
 
-/** A server that ended while it ran a request. */
-export interface ServerEnd {
-  /** One start of one server. */
+/** A server crash during a request. */
+export interface ServerCrash {
+  /** Identifies the crashed incarnation of the server. */
   life: string
-  /** The instances had agreed that this was the only run of the request. */
+  /** The owner of the request had confirmed that no other run was in progress. */
   wasOnlyRun: boolean
 }
 
-/** What instances tell each other of one request. */
-export interface SuspectNews {
+/** What instances announce to each other about one request. */
+export interface SuspectUpdate {
   identity: string
-  ends: readonly ServerEnd[]
-  /** Lives whose ends say nothing any more, since the request ended well afterwards. */
+  ends: readonly ServerCrash[]
+  /** Incarnations whose crashes no longer count, since the request succeeded afterwards. */
   cleared: readonly string[]
 }
 
-/** A request under which servers ended. Sets only grow, so that news may come twice, late and in any order. */
+/** A request during which servers crashed. Updates may be applied repeatedly, late and in any order, since they only add to the sets. */
 export class Suspect {
-  private readonly ends = new Map<string, ServerEnd>()
+  private readonly crashes = new Map<string, ServerCrash>()
   private readonly cleared = new Set<string>()
-  /** Runs that ended well since the first end, as far as this instance knows. */
-  goodEnds = 0
-  /** Monotone time at which an end was last heard of. */
-  endedAt = -Infinity
+  /** Successful runs since the first crash, as far as this instance has a record. */
+  successes = 0
+  /** Monotonic time at which the last new crash was recorded. */
+  lastCrashAt = -Infinity
 
   constructor (readonly identity: string) {}
 
-  /** Ends since the request last ended well. */
-  listOpen (): ServerEnd[] {
-    return [...this.ends.values()].filter(({ life }) => !this.cleared.has(life))
+  /** Crashes since the last successful run. */
+  listUncleared (): ServerCrash[] {
+    return [...this.crashes.values()].filter(({ life }) => !this.cleared.has(life))
   }
 
-  get totalEnds (): number {
-    return this.ends.size
+  get totalCrashes (): number {
+    return this.crashes.size
   }
 
-  /** Adds an end; false when it is known. */
-  addEnd (end: ServerEnd, now: number): boolean {
-    if (this.ends.has(end.life)) return false
-    this.ends.set(end.life, end)
-    this.endedAt = now
-    if (this.ends.size > MAX_ENDS) this.forgetOldest()
+  /** Returns false when the crash was already recorded. */
+  addCrash (crash: ServerCrash, now: number): boolean {
+    if (this.crashes.has(crash.life)) return false
+    this.crashes.set(crash.life, crash)
+    this.lastCrashAt = now
+    if (this.crashes.size > MAX_CRASHES) this.dropOldest()
     return true
   }
 
-  /** Notes that ends say nothing any more; false when that is known. */
-  clear (lives: readonly string[]): boolean {
-    const before = this.cleared.size
-    for (const life of lives) this.cleared.add(life)
-    if (this.cleared.size === before) return false
-    // Whoever cleared them has seen the request end well.
-    this.goodEnds++
+  /** Marks crashes as cleared; returns false when all of them already were. */
+  clear (incarnations: readonly string[]): boolean {
+    const sizeBefore = this.cleared.size
+    for (const incarnation of incarnations) this.cleared.add(incarnation)
+    if (this.cleared.size === sizeBefore) return false
+    // Crashes are cleared by a successful run.
+    this.successes++
     return true
   }
 
-  describe (): SuspectNews {
-    return { identity: this.identity, ends: [...this.ends.values()], cleared: [...this.cleared] }
+  describe (): SuspectUpdate {
+    return { identity: this.identity, ends: [...this.crashes.values()], cleared: [...this.cleared] }
   }
 
-  private forgetOldest (): void {
-    const oldest = [...this.ends.keys()].find((life) => this.cleared.has(life)) ?? this.ends.keys().next().value
+  private dropOldest (): void {
+    const oldest = [...this.crashes.keys()].find((incarnation) => this.cleared.has(incarnation)) ?? this.crashes.keys().next().value
     if (oldest === undefined) return
-    this.ends.delete(oldest)
+    this.crashes.delete(oldest)
     this.cleared.delete(oldest)
   }
 }
--- a/routing/quarantine/src/SuspectArchive.ts
+++ b/routing/quarantine/src/SuspectArchive.ts
@@ -1,103 +1,102 @@
 import type { ObjectStore, StoredObject } from '@pulleystack/backend.interfaces'
 import type { Clock } from '@pulleystack/core.clock'
-import type { ServerEnd, SuspectNews } from './Suspect.js'
+import type { ServerCrash, SuspectUpdate } from './Suspect.js'
 import { Verdicts, type Verdict } from './SuspectRule.js'
 
-const PREFIX = 'suspects/'
-/** The store is asked again so often while it is away. */
+const KEY_PREFIX = 'suspects/'
+/** Interval of retries while the store is unavailable. */
 const RETRY_MS = 1_000
-/** Writes of one life at most; when a data hall is lost twice, hundreds have two ends, and the store has other work then. */
-const MAX_WRITTEN = 256
+/** Maximum number of writes per process run; limits the load on the store when hundreds of requests become suspect at once. */
+const MAX_WRITES = 256
 
 export interface SuspectArchiveOptions {
   clock: Clock
   store: ObjectStore
   judge: (identity: string) => Verdict
-  /** The ends that are known. */
-  describe: (identity: string) => readonly ServerEnd[]
+  /** Crashes since the request's last successful run. */
+  listCrashes: (identity: string) => readonly ServerCrash[]
 }
 
 /**
- * Keeps requests with two ends or more in the store, so that instances that all died at once know them still. That takes two calls for each such request
- * and one for each life of an instance.
+ * Stores suspects that need an exclusive run or are rejected, so that they are still known after all instances restarted at once.
  */
 export class SuspectArchive {
-  /** How requests were judged when they were written, or read. */
-  private readonly kept = new Map<string, Verdict | undefined>()
-  private written = 0
+  /** Verdicts at the time requests were written; undefined for requests that were read. */
+  private readonly storedVerdicts = new Map<string, Verdict | undefined>()
+  private writeCount = 0
 
   constructor (private readonly opts: SuspectArchiveOptions) {}
 
-  /** Reads what is kept, as soon as the store answers; gives nothing when the signal ends before. */
-  async load (signal: AbortSignal): Promise<SuspectNews[]> {
+  /** Reads all stored suspects, retrying while the store is unavailable; returns none when the signal aborts first. */
+  async load (signal: AbortSignal): Promise<SuspectUpdate[]> {
     while (!signal.aborted) {
-      const listing = await this.opts.store.listObjects(PREFIX)
+      const listing = await this.opts.store.listObjects(KEY_PREFIX)
       if (listing.isOk()) return this.readAll(listing.value.objects)
       await this.opts.clock.wait(RETRY_MS, signal)
     }
     return []
   }
 
-  private readAll (objects: readonly StoredObject[]): SuspectNews[] {
-    const all = objects.flatMap(({ key, value }) => readNews(key.slice(PREFIX.length), value) ?? [])
-    for (const { identity } of all) this.kept.set(identity, undefined)
-    return all
+  private readAll (objects: readonly StoredObject[]): SuspectUpdate[] {
+    const updates = objects.flatMap(({ key, value }) => parseUpdate(key.slice(KEY_PREFIX.length), value) ?? [])
+    for (const { identity } of updates) this.storedVerdicts.set(identity, undefined)
+    return updates
   }
 
-  /** Writes what is known of a request, as soon as the store answers; not again while it is judged the same. */
-  async keep (identity: string, signal: AbortSignal): Promise<void> {
+  /** Writes a suspect unless it was last written with the same verdict. */
+  async storeIfChanged (identity: string, signal: AbortSignal): Promise<void> {
     const verdict = this.opts.judge(identity)
-    if (this.kept.get(identity) === verdict || this.written >= MAX_WRITTEN) return
-    this.written++
-    await this.keepAgain(identity, signal)
+    if (this.storedVerdicts.get(identity) === verdict || this.writeCount >= MAX_WRITES) return
+    this.writeCount++
+    await this.storeWithRetries(identity, signal)
   }
 
-  /** Writes what is known of a request, whether or not that was done before, unless it need not be kept. */
-  async keepAgain (identity: string, signal: AbortSignal): Promise<void> {
-    const { clock, describe, judge } = this.opts
-    this.kept.set(identity, judge(identity))
-    while (!signal.aborted && mustKeep(judge(identity))) {
-      const written = await this.write(identity, describe(identity))
-      if (written) return
+  /** Writes a suspect, retrying while the store is unavailable, unless its verdict no longer requires it. */
+  async storeWithRetries (identity: string, signal: AbortSignal): Promise<void> {
+    const { clock, listCrashes, judge } = this.opts
+    this.storedVerdicts.set(identity, judge(identity))
+    while (!signal.aborted && mustStore(judge(identity))) {
+      const isWritten = await this.write(identity, listCrashes(identity))
+      if (isWritten) return
       await clock.wait(RETRY_MS, signal)
     }
-    this.kept.delete(identity)
+    this.storedVerdicts.delete(identity)
   }
 
-  private async write (identity: string, ends: readonly ServerEnd[]): Promise<boolean> {
+  private async write (identity: string, crashes: readonly ServerCrash[]): Promise<boolean> {
     const { store } = this.opts
-    const key = PREFIX + identity
-    const present = await store.readObject(key)
-    if (present.isErr()) return false
-    // Of two instances that write at once one is late, and knows as much as the other.
-    const written = await store.writeObject(key, { ends }, present.value?.version ?? 0)
-    return written.isOk()
+    const key = KEY_PREFIX + identity
+    const current = await store.readObject(key)
+    if (current.isErr()) return false
+    // When two instances write at once, the losing write is retried.
+    const result = await store.writeObject(key, { ends: crashes }, current.value?.version ?? 0)
+    return result.isOk()
   }
 
-  /** Takes a request out that has ended well after all. */
-  async forget (identity: string): Promise<void> {
-    if (!this.kept.delete(identity)) return
-    const key = PREFIX + identity
-    const present = await this.opts.store.readObject(key)
-    if (present.isErr() || present.value === undefined) return
-    // Where it fails the request is tried once more by instances that start later.
-    await this.opts.store.deleteObject(key, present.value.version)
+  /** Deletes a cleared request from the store. */
+  async remove (identity: string): Promise<void> {
+    if (!this.storedVerdicts.delete(identity)) return
+    const key = KEY_PREFIX + identity
+    const current = await this.opts.store.readObject(key)
+    if (current.isErr() || current.value === undefined) return
+    // If this fails, instances that start later give the request one more exclusive run.
+    await this.opts.store.deleteObject(key, current.value.version)
   }
 }
 
-/** The objects are the system's own, and yet another writer may have put one there. */
-function readNews (identity: string, value: unknown): SuspectNews | undefined {
+/** Validates a stored object, since other writers may have access to the store. */
+function parseUpdate (identity: string, value: unknown): SuspectUpdate | undefined {
   const { ends } = (value ?? {}) as { ends?: unknown }
   if (!Array.isArray(ends)) return undefined
-  return { identity, ends: ends.filter(isServerEnd), cleared: [] }
+  return { identity, ends: ends.filter(isServerCrash), cleared: [] }
 }
 
-function isServerEnd (value: unknown): value is ServerEnd {
-  const end = value as Partial<ServerEnd> | null
-  return typeof end?.life === 'string' && typeof end.wasOnlyRun === 'boolean'
+function isServerCrash (value: unknown): value is ServerCrash {
+  const crash = value as Partial<ServerCrash> | null
+  return typeof crash?.life === 'string' && typeof crash.wasOnlyRun === 'boolean'
 }
 
-/** Whether a request so judged is to be known also after all instances have ended at once. */
-function mustKeep (verdict: Verdict): boolean {
+/** Whether requests with this verdict must survive a restart of all instances. */
+function mustStore (verdict: Verdict): boolean {
   return verdict === Verdicts.ALONE || verdict === Verdicts.REFUSED
 }
--- a/routing/quarantine/src/SuspectRule.ts
+++ b/routing/quarantine/src/SuspectRule.ts
@@ -1,26 +1,26 @@
-import type { ServerEnd, Suspect } from './Suspect.js'
+import type { ServerCrash, Suspect } from './Suspect.js'
 
-/** How a request may run. */
+/** Whether and how a request may run. */
 export const Verdicts = {
-  /** Like any other. */
+  /** Without restrictions. */
   FREE: 'free',
-  /** Apart from others where there is room; its runs are counted over all instances. */
+  /** Preferably on a server without other suspects; its runs are counted across all instances. */
   WATCHED: 'watched',
-  /** Only while no other run of it is under way, and on a server without another suspect. */
+  /** Only while no other run of it is in progress, and on a server without another suspect. */
   ALONE: 'alone',
   REFUSED: 'refused',
 } as const
 export type Verdict = typeof Verdicts[keyof typeof Verdicts]
 
-/** What a rule may look at beside the request itself. */
+/** What a rule may consider besides the request itself. */
 export interface SuspectEvidence {
-  /** Whether another request, with ends elsewhere too, was there when this server ended. */
-  isShared: (end: ServerEnd) => boolean
-  /** Monotone time. */
+  /** Whether another request with more than one uncleared crash was running on the server when it crashed. */
+  isShared: (crash: ServerCrash) => boolean
+  /** Monotonic time in milliseconds. */
   now: number
 }
 
-/** Decides whether a request under which servers ended may run again. */
+/** Decides whether a request during which servers crashed may run again. */
 export abstract class SuspectRule {
   abstract judge (suspect: Suspect, evidence: SuspectEvidence): Verdict
 }
--- a/routing/quarantine/src/SuspectTable.ts
+++ b/routing/quarantine/src/SuspectTable.ts
@@ -1,14 +1,14 @@
-import { Suspect, type ServerEnd, type SuspectNews } from './Suspect.js'
+import { Suspect, type ServerCrash, type SuspectUpdate } from './Suspect.js'
 import { Verdicts, type SuspectRule, type Verdict } from './SuspectRule.js'
 
-/** Requests that are kept at most: 3 MB with two ends each. A server takes up to 64 requests along, so that 60 ends in a row fit. */
+/** Bounds the memory used; leaves room for dozens of crashes with a full set of requests each. */
 const MAX_SUSPECTS = 4_096
 
-/** The requests under which servers ended, as one instance knows them. When it is full the one goes that was heard of least lately; refused ones stay. */
+/** One instance's record of requests during which servers crashed. When full, it drops the least recently updated one that isn't rejected. */
 export class SuspectTable {
-  /** Those heard of least lately come first. */
+  /** Least recently updated first. */
   private readonly suspects = new Map<string, Suspect>()
-  private readonly byLife = new Map<string, Set<string>>()
+  private readonly byIncarnation = new Map<string, Set<string>>()
 
   constructor (private readonly rule: SuspectRule, private readonly readTime: () => number) {}
 
@@ -27,53 +27,53 @@
   judge (identity: string): Verdict {
     const suspect = this.suspects.get(identity)
     if (!suspect) return Verdicts.FREE
-    return this.rule.judge(suspect, { now: this.readTime(), isShared: (end) => this.isShared(identity, end) })
+    return this.rule.judge(suspect, { now: this.readTime(), isShared: (crash) => this.isShared(identity, crash) })
   }
 
-  /** Takes what an instance knows of a request; true when something in it was new. */
-  take ({ identity, ends, cleared }: SuspectNews): boolean {
-    const suspect = this.ensureLast(identity)
-    const added = ends.filter((end) => suspect.addEnd(end, this.readTime()))
-    for (const { life } of added) this.noteLife(life, identity)
+  /** Merges an update; returns true when something in it was new. */
+  apply ({ identity, ends, cleared }: SuspectUpdate): boolean {
+    const suspect = this.ensureNewest(identity)
+    const added = ends.filter((crash) => suspect.addCrash(crash, this.readTime()))
+    for (const { life } of added) this.recordIncarnation(life, identity)
     const isCleared = suspect.clear(cleared)
     this.dropOldest()
     return added.length > 0 || isCleared
   }
 
-  /** The request ended well; true when ends are cleared by that. */
-  noteGoodEnd (identity: string): boolean {
+  /** Records a successful run; returns true when that cleared crashes. */
+  recordSuccess (identity: string): boolean {
     const suspect = this.suspects.get(identity)
     if (!suspect) return false
-    const open = suspect.listOpen()
-    if (open.length > 0) return suspect.clear(open.map(({ life }) => life))
-    suspect.goodEnds++
+    const uncleared = suspect.listUncleared()
+    if (uncleared.length > 0) return suspect.clear(uncleared.map(({ life }) => life))
+    suspect.successes++
     return false
   }
 
-  /** Forgets those that were not heard of for so long, but for refused ones. */
-  forgetOlder (ms: number): void {
-    const before = this.readTime() - ms
-    for (const { identity, endedAt } of this.list()) {
-      if (endedAt < before && this.judge(identity) !== Verdicts.REFUSED) this.remove(identity)
+  /** Removes suspects whose last crash is older than `maxAgeMs`, except rejected ones. */
+  removeOlder (maxAgeMs: number): void {
+    const oldestAllowed = this.readTime() - maxAgeMs
+    for (const { identity, lastCrashAt } of this.list()) {
+      if (lastCrashAt < oldestAllowed && this.judge(identity) !== Verdicts.REFUSED) this.remove(identity)
     }
   }
 
-  /** Whether another request that was there when a server ended has an end elsewhere too. */
-  private isShared (identity: string, { life }: ServerEnd): boolean {
-    const others = [...this.byLife.get(life) ?? []].filter((other) => other !== identity)
-    return others.some((other) => (this.suspects.get(other)?.listOpen().length ?? 0) > 1)
+  /** Whether another request that was running when a server crashed has more than one uncleared crash. */
+  private isShared (identity: string, { life }: ServerCrash): boolean {
+    const others = [...this.byIncarnation.get(life) ?? []].filter((other) => other !== identity)
+    return others.some((other) => (this.suspects.get(other)?.listUncleared().length ?? 0) > 1)
   }
 
-  private ensureLast (identity: string): Suspect {
+  private ensureNewest (identity: string): Suspect {
     const suspect = this.suspects.get(identity) ?? new Suspect(identity)
     this.suspects.delete(identity)
     this.suspects.set(identity, suspect)
     return suspect
   }
 
-  private noteLife (life: string, identity: string): void {
-    const identities = this.byLife.get(life) ?? new Set<string>()
-    this.byLife.set(life, identities.add(identity))
+  private recordIncarnation (incarnation: string, identity: string): void {
+    const identities = this.byIncarnation.get(incarnation) ?? new Set<string>()
+    this.byIncarnation.set(incarnation, identities.add(identity))
   }
 
   private dropOldest (): void {
@@ -84,9 +84,9 @@
 
   private remove (identity: string): void {
     for (const { life } of this.suspects.get(identity)?.describe().ends ?? []) {
-      const identities = this.byLife.get(life)
+      const identities = this.byIncarnation.get(life)
       identities?.delete(identity)
-      if (identities?.size === 0) this.byLife.delete(life)
+      if (identities?.size === 0) this.byIncarnation.delete(life)
     }
     this.suspects.delete(identity)
   }
--- a/routing/quarantine/src/countingRules.ts
+++ b/routing/quarantine/src/countingRules.ts
@@ -1,24 +1,24 @@
 import type { Suspect } from './Suspect.js'
 import { SuspectRule, Verdicts, type Verdict } from './SuspectRule.js'
 
-/** Refuses a request after so many ends, whatever else is known of it; compared with the rule in use. */
+/** Rejects a request after a number of crashes, whatever its other runs show; a baseline for comparisons. */
 export class CountedEndsRule extends SuspectRule {
-  constructor (private readonly mostEnds: number) {
+  constructor (private readonly maxCrashes: number) {
     super()
   }
 
   override judge (suspect: Suspect): Verdict {
-    return suspect.totalEnds >= this.mostEnds ? Verdicts.REFUSED : Verdicts.FREE
+    return suspect.totalCrashes >= this.maxCrashes ? Verdicts.REFUSED : Verdicts.FREE
   }
 }
 
-/** Refuses a request after so many ends without a good one between them; compared with the rule in use. */
+/** Rejects a request after a number of crashes without a successful run in between; a baseline for comparisons. */
 export class WeighedEndsRule extends SuspectRule {
-  constructor (private readonly mostEnds: number) {
+  constructor (private readonly maxCrashes: number) {
     super()
   }
 
   override judge (suspect: Suspect): Verdict {
-    return suspect.listOpen().length >= this.mostEnds ? Verdicts.REFUSED : Verdicts.FREE
+    return suspect.listUncleared().length >= this.maxCrashes ? Verdicts.REFUSED : Verdicts.FREE
   }
 }
--- a/routing/quarantine/test/QuarantineBench.ts
+++ b/routing/quarantine/test/QuarantineBench.ts
@@ -4,56 +4,52 @@
 import type { PeerEvent, PeerIdentity } from '@pulleystack/membership.peers'
 import { Quarantine, Verdicts, type SuspectRule, type SuspectRun } from '../src/index.js'
 
-/** A server begins to run a lethal request at once and ends so much later; the record of one shows 40 to 130 ms. */
-const LETHAL_MS = 50
-/** A server that ended is back after so long. */
-const RETURN_MS = 3_000
-/** Later arrivals are those that come so long after the third end. */
-const LATER_MS = 3_000
+/** Time from the start of a poison request to the crash of its server. */
+const CRASH_DELAY_MS = 50
+/** Time from a server's crash to its restart. */
+const SERVER_RESTART_MS = 3_000
+/** Arrivals this long after the third crash count as late. */
+const LATE_ARRIVAL_MS = 3_000
 const MAX_ATTEMPTS = 2
-/** Tries of one client. */
-const MAX_TRIES = 2
+const MAX_CLIENT_TRIES = 2
 const TICK_MS = 10
-/** As the choice of servers weighs a suspect against requests beside it. */
+/** Cost of a suspect relative to another request when a server is chosen. */
 const SUSPECT_COST = 40
-/** A request waits for a place so long at most. */
-const PATIENCE_MS = 2_000
-const NEVER_ENDED = new AbortController().signal
-/** Messages between instances take so long at most. */
-const DELAY_MS = 5
+const MAX_SLOT_WAIT_MS = 2_000
+const NEVER_ABORTED = new AbortController().signal
+const MAX_MESSAGE_DELAY_MS = 5
 
-/** What comes, and what happens to servers by itself; times in milliseconds. */
+/** Traffic and failures of a simulation; times in milliseconds. */
 export interface Scenario {
   instances: number
   servers: number
   lastsMs: number
-  /** Innocent requests a second, how long a server runs them, and the share of them that ask the same. */
+  /** Harmless requests per second, how long a server runs them, and the share of them that are identical. */
   rate: number
   runMs: number
   sameShare: number
-  /** When the lethal request comes, and how many at once. */
+  /** Interval of the poison request, and how many are sent at once. */
   lethalEveryMs?: number
   atOnce?: number
-  /** Servers that end by themselves, how often and how many together. */
+  /** Interval of server crashes for other reasons, and how many servers crash together. */
   endsEveryMs?: number
   endsTogether?: number
-  /** All instances are killed and started anew so often. */
+  /** Interval at which all instances are killed and restarted. */
   restartEveryMs?: number
 }
 
-/** What became of it. */
 export interface ScenarioOutcome {
   endedByLethal: number
-  /** Arrivals of the lethal request later than 3 s after it ended the third server. */
+  /** Arrivals of the poison request more than 3 s after it crashed the third server. */
   laterArrivals: number
   innocent: number
-  /** Innocent requests that were refused at least once as suspects, and ones that were not served in any of their tries. */
+  /** Harmless requests that were rejected at least once as suspects, and ones that failed in all their tries. */
   refusedWrongly: number
   lost: number
 }
 
 interface Server {
-  life: string
+  incarnation: string
   isUp: boolean
   running: Set<Run>
 }
@@ -61,16 +57,16 @@
 interface Run {
   identity: string
   isSuspect: boolean
-  end: (isWhole: boolean) => void
+  finish: (isSuccess: boolean) => void
 }
 
 interface Instance {
   name: string
   quarantine: Quarantine
-  ended: AbortController
+  controller: AbortController
 }
 
-/** Instances before servers in simulated time, with one rule; the same seed gives the same arrivals to every rule. */
+/** Simulates instances and backend servers under one rule; the same seed gives the same arrivals for every rule. */
 export class QuarantineBench {
   readonly clock = new ManualClock()
   readonly outcome: ScenarioOutcome = { endedByLethal: 0, laterArrivals: 0, innocent: 0, refusedWrongly: 0, lost: 0 }
@@ -79,13 +75,13 @@
   readonly servers: Server[]
   instances: Instance[]
   private readonly random: RandomSource
-  private lives = 0
-  private thirdEndAt = Infinity
+  private incarnations = 0
+  private thirdCrashAt = Infinity
 
   constructor (private readonly scenario: Scenario, private readonly rule: SuspectRule, seed: number) {
     this.random = new RandomSource(seed)
     this.hub = new FakeHub({ clock: this.clock, random: new RandomSource(seed + 1) })
-    this.hub.maxDelayMs = DELAY_MS
+    this.hub.maxDelayMs = MAX_MESSAGE_DELAY_MS
     this.servers = Array.from({ length: scenario.servers }, () => this.createServer())
     this.instances = Array.from({ length: scenario.instances }, (_, at) => this.startInstance(`e${at}`))
   }
@@ -94,78 +90,81 @@
     const { lastsMs, rate, lethalEveryMs = Infinity, atOnce = 1, endsEveryMs = Infinity, endsTogether = 1, restartEveryMs = Infinity } = this.scenario
     for (let ms = 0; ms < lastsMs; ms += TICK_MS) {
       const isDue = (everyMs: number): boolean => ms > 0 && ms % everyMs === 0
-      if (this.random.readFraction() < rate * TICK_MS / 1000) void this.bringInnocent()
-      if (isDue(lethalEveryMs)) for (let at = 0; at < atOnce; at++) void this.bringLethal()
-      if (isDue(endsEveryMs)) this.endSome(endsTogether)
+      if (this.random.readFraction() < rate * TICK_MS / 1000) void this.sendHarmless()
+      if (isDue(lethalEveryMs)) for (let at = 0; at < atOnce; at++) void this.sendPoison()
+      if (isDue(endsEveryMs)) this.crashServers(endsTogether)
       if (isDue(restartEveryMs)) this.restartAll()
       await this.clock.advance(TICK_MS)
     }
-    // Whatever runs comes to its end.
-    await this.clock.advance(this.scenario.runMs * MAX_ATTEMPTS * MAX_TRIES + RETURN_MS)
+    // Wait for the remaining runs to finish.
+    await this.clock.advance(this.scenario.runMs * MAX_ATTEMPTS * MAX_CLIENT_TRIES + SERVER_RESTART_MS)
     return this.outcome
   }
 
-  /** All instances end at once, and others start that know nothing. */
+  /** Kills all instances at once and starts new ones without any records. */
   restartAll (): void {
-    for (const { ended } of this.instances) ended.abort()
+    for (const { controller } of this.instances) controller.abort()
     this.instances = this.instances.map(({ name }) => this.startInstance(name))
   }
 
-  /** One instance ends, and one of the same name starts that knows nothing. */
+  /** Kills one instance and starts a new one of the same name without any records. */
   restart (at: number): void {
-    const { ended, name } = this.instances[at] as Instance
-    ended.abort()
+    const { controller, name } = this.instances[at] as Instance
+    controller.abort()
     this.instances[at] = this.startInstance(name)
-    for (const other of this.instances) if (other.name !== name) this.hub.findNode(other.name)?.events.next(this.createHeard(name))
+    for (const other of this.instances) if (other.name !== name) this.hub.findNode(other.name)?.events.next(this.createHeardEvent(name))
   }
 
-  /** The lethal request comes once to some instance. */
-  async bringLethal (at = this.random.readBelow(this.instances.length)): Promise<void> {
+  /** Sends the poison request once to an instance, by default a random one. */
+  async sendPoison (at = this.random.readBelow(this.instances.length)): Promise<void> {
     const instance = this.instances[at % this.instances.length] as Instance
-    await this.tryAt(instance, 'lethal', () => this.noteLethalArrival())
+    await this.tryInstance(instance, 'poison', () => this.countPoisonArrival())
   }
 
-  private async bringInnocent (): Promise<void> {
+  private async sendHarmless (): Promise<void> {
     const identity = this.random.readFraction() < this.scenario.sameShare ? 'same' : `i${this.outcome.innocent}`
     this.outcome.innocent++
-    let wasRefused = false
-    for (let tries = 0; tries < MAX_TRIES; tries++) {
-      const result = await this.tryAt(this.random.pickOne(this.instances), identity)
-      if (result === 'whole') return
-      if (result === 'refused' && !wasRefused) this.outcome.refusedWrongly++
-      wasRefused ||= result === 'refused'
+    let wasRejected = false
+    for (let attempt = 0; attempt < MAX_CLIENT_TRIES; attempt++) {
+      const result = await this.tryInstance(this.random.pickOne(this.instances), identity)
+      if (result === 'served') return
+      if (result === 'rejected' && !wasRejected) this.outcome.refusedWrongly++
+      wasRejected ||= result === 'rejected'
       await this.clock.wait(TICK_MS)
     }
     this.outcome.lost++
   }
 
-  /** One try of a client at one instance, as the gateway makes it. */
-  private async tryAt ({ quarantine }: Instance, identity: string, onArrival: () => void = () => undefined): Promise<'whole' | 'broken' | 'refused'> {
+  /** One client try at one instance, with the gateway's attempts. */
+  private async tryInstance ({ quarantine }: Instance, identity: string, onArrival: () => void = () => undefined): Promise<'served' | 'failed' | 'rejected'> {
     for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
-      const run = await quarantine.acquire(identity, this.scenario.runMs * 2, NEVER_ENDED)
-      if (!run) return 'refused'
+      const run = await quarantine.acquire(identity, this.scenario.runMs * 2, NEVER_ABORTED)
+      if (!run) return 'rejected'
       const verdict = quarantine.judge(identity)
       const server = await this.waitForServer(verdict === Verdicts.ALONE)
       if (!server) {
         run.release()
-        return 'broken'
+        return 'failed'
       }
       onArrival()
-      const isWhole = await this.runAt(server, { identity, isSuspect: verdict !== Verdicts.FREE })
-      this.noteOutcome(quarantine, { identity, run, isWhole, life: server.life })
-      if (isWhole) return 'whole'
+      const isSuccess = await this.runOnServer(server, { identity, isSuspect: verdict !== Verdicts.FREE })
+      this.reportOutcome(quarantine, { identity, run, isSuccess, life: server.incarnation })
+      if (isSuccess) return 'served'
     }
-    return 'broken'
+    return 'failed'
   }
 
-  private noteOutcome (quarantine: Quarantine, { identity, run, isWhole, life }: { identity: string, run: SuspectRun, isWhole: boolean, life: string }): void {
-    if (isWhole) quarantine.noteGoodEnd(identity)
+  private reportOutcome (
+    quarantine: Quarantine,
+    { identity, run, isSuccess, life }: { identity: string, run: SuspectRun, isSuccess: boolean, life: string },
+  ): void {
+    if (isSuccess) quarantine.noteGoodEnd(identity)
     else quarantine.noteServerEnd(identity, { life, wasOnlyRun: run.isOnly })
     run.release()
   }
 
   private async waitForServer (mustBeApart: boolean): Promise<Server | undefined> {
-    for (let waitedMs = 0; waitedMs <= PATIENCE_MS; waitedMs += TICK_MS) {
+    for (let waitedMs = 0; waitedMs <= MAX_SLOT_WAIT_MS; waitedMs += TICK_MS) {
       const server = this.chooseServer(mustBeApart)
       if (server) return server
       await this.clock.wait(TICK_MS)
@@ -181,58 +180,58 @@
     return rated.length === 0 ? undefined : rated.reduce((best, it) => it.cost < best.cost ? it : best).server
   }
 
-  private runAt (server: Server, { identity, isSuspect }: Omit<Run, 'end'>): Promise<boolean> {
+  private runOnServer (server: Server, { identity, isSuspect }: Omit<Run, 'finish'>): Promise<boolean> {
     return new Promise((resolve) => {
       const run: Run = {
         identity,
         isSuspect,
-        end: (isWhole) => {
+        finish: (isSuccess) => {
           server.running.delete(run)
-          resolve(isWhole)
+          resolve(isSuccess)
         },
       }
       server.running.add(run)
-      if (identity === 'lethal') this.clock.setTimer(LETHAL_MS, () => this.endServer(server, true))
-      else this.clock.setTimer(this.scenario.runMs, () => run.end(true))
+      if (identity === 'poison') this.clock.setTimer(CRASH_DELAY_MS, () => this.crashServer(server, true))
+      else this.clock.setTimer(this.scenario.runMs, () => run.finish(true))
     })
   }
 
-  private endSome (count: number): void {
+  private crashServers (count: number): void {
     const up = this.servers.filter((server) => server.isUp)
-    for (const server of up.slice(0, count)) this.endServer(server, false)
+    for (const server of up.slice(0, count)) this.crashServer(server, false)
   }
 
-  private endServer (server: Server, byLethal: boolean): void {
+  private crashServer (server: Server, byPoison: boolean): void {
     if (!server.isUp) return
     server.isUp = false
-    if (byLethal && ++this.outcome.endedByLethal === 3) this.thirdEndAt = this.clock.readTime()
-    for (const run of [...server.running]) run.end(false)
-    this.clock.setTimer(RETURN_MS, () => {
+    if (byPoison && ++this.outcome.endedByLethal === 3) this.thirdCrashAt = this.clock.readTime()
+    for (const run of [...server.running]) run.finish(false)
+    this.clock.setTimer(SERVER_RESTART_MS, () => {
       const at = this.servers.indexOf(server)
       this.servers[at] = this.createServer()
     })
   }
 
-  private noteLethalArrival (): void {
-    if (this.clock.readTime() > this.thirdEndAt + LATER_MS) this.outcome.laterArrivals++
+  private countPoisonArrival (): void {
+    if (this.clock.readTime() > this.thirdCrashAt + LATE_ARRIVAL_MS) this.outcome.laterArrivals++
   }
 
   private createServer (): Server {
-    return { life: `s${this.lives++}`, isUp: true, running: new Set() }
+    return { incarnation: `s${this.incarnations++}`, isUp: true, running: new Set() }
   }
 
-  private createHeard (name: string): PeerEvent {
+  private createHeardEvent (name: string): PeerEvent {
     return { kind: 'heard', identity: createIdentity(name), isNewLink: true }
   }
 
   private startInstance (name: string): Instance {
     const identity = createIdentity(name)
     const network = this.hub.createNode(identity)
-    const ended = new AbortController()
+    const controller = new AbortController()
     const standing = { instance: name, listServing: () => network.listLinked() }
     const quarantine = new Quarantine({ clock: this.clock, network, standing, rule: this.rule, store: this.store })
-    quarantine.start(ended.signal)
-    return { name, quarantine, ended }
+    quarantine.start(controller.signal)
+    return { name, quarantine, controller }
   }
 }
 
