--- a/routing/retries/src/ExtraLoans.ts
+++ b/routing/retries/src/ExtraLoans.ts
@@ -1,16 +1,16 @@
 import type { Clock } from '@pulleystack/core.clock'
 
-/** A part of the fixed extra that is another instance's for a while. */
-interface ExtraLoan {
+/** A part of the fixed allowance that is lent to another instance for a limited time. */
+interface Loan {
   amount: number
-  /** Monotone time from which on it does not count any more. */
-  until: number
+  /** Monotonic time at which the loan expires. */
+  expiresAt: number
 }
 
-/** What one instance has lent of its part of one fixed extra, and what it has borrowed. */
+/** What one instance has lent of its share of a fixed allowance, and what it has borrowed. */
 export class ExtraLoans {
-  private lent: readonly ExtraLoan[] = []
-  private borrowed: readonly ExtraLoan[] = []
+  private lent: readonly Loan[] = []
+  private borrowed: readonly Loan[] = []
 
   constructor (private readonly clock: Clock) {}
 
@@ -22,21 +22,21 @@
     return this.sum(this.borrowed)
   }
 
-  noteLent (amount: number, forMs: number): void {
-    this.lent = this.add(this.lent, amount, forMs)
+  recordLent (amount: number, durationMs: number): void {
+    this.lent = this.add(this.lent, amount, durationMs)
   }
 
-  noteBorrowed (amount: number, forMs: number): void {
-    this.borrowed = this.add(this.borrowed, amount, forMs)
+  recordBorrowed (amount: number, durationMs: number): void {
+    this.borrowed = this.add(this.borrowed, amount, durationMs)
   }
 
-  private add (loans: readonly ExtraLoan[], amount: number, forMs: number): readonly ExtraLoan[] {
+  private add (loans: readonly Loan[], amount: number, durationMs: number): readonly Loan[] {
     const now = this.clock.readTime()
-    return [...loans.filter((loan) => loan.until > now), { amount, until: now + forMs }]
+    return [...loans.filter((loan) => loan.expiresAt > now), { amount, expiresAt: now + durationMs }]
   }
 
-  private sum (loans: readonly ExtraLoan[]): number {
+  private sum (loans: readonly Loan[]): number {
     const now = this.clock.readTime()
-    return loans.reduce((total, loan) => loan.until > now ? total + loan.amount : total, 0)
+    return loans.reduce((total, loan) => loan.expiresAt > now ? total + loan.amount : total, 0)
   }
 }
--- a/routing/retries/src/OutlierDetector.ts
+++ b/routing/retries/src/OutlierDetector.ts
@@ -1,21 +1,21 @@
 const CONSECUTIVE_FAILURES = 5
 const BASE_EJECTION_MS = 2_000
 const MAX_EJECTION_MS = 60_000
-const PANIC_SHARE = 0.5
+const PANIC_THRESHOLD = 0.5
 
-/** Watches one backend server for repeated failure and takes it out for a while, each time longer. */
+/** Ejects a backend server after consecutive failures, for longer each time. */
 export class OutlierDetector {
   private failures = 0
   private ejections = 0
   private ejectedUntil = 0
 
-  /** Counts a success; after a while of health earlier ejections are forgotten. */
+  /** Counts a success; successes gradually cancel earlier ejections. */
   noteSuccess (): void {
     this.failures = 0
     if (this.ejections > 0) this.ejections -= 0.1
   }
 
-  /** Counts a failure; true when it caused an ejection. */
+  /** Counts a failure; returns true when it caused an ejection. */
   noteFailure (now: number, jitter: number): boolean {
     this.failures++
     if (this.failures < CONSECUTIVE_FAILURES || this.isEjected(now)) return false
@@ -31,15 +31,15 @@
   }
 }
 
-/** What decides whether a server may be used. */
+/** A server that can be excluded from use. */
 export interface Ejectable {
   readonly outlier: OutlierDetector
-  /** True when its reports have stopped coming. */
+  /** Whether the server has stopped reporting. */
   isSilent: (now: number) => boolean
 }
 
-/** The candidates that are neither ejected nor silent; all of them when more than half are, since then the fault is likely ours. */
+/** Returns the candidates that are neither ejected nor silent; all of them when more than half are, as the fault is then likely on this side. */
 export function listUsable<T extends Ejectable> (candidates: readonly T[], now: number): T[] {
   const usable = candidates.filter((candidate) => !candidate.outlier.isEjected(now) && !candidate.isSilent(now))
-  return usable.length >= candidates.length * (1 - PANIC_SHARE) ? usable : [...candidates]
+  return usable.length >= candidates.length * (1 - PANIC_THRESHOLD) ? usable : [...candidates]
 }
--- a/routing/retries/src/RetryBudget.ts
+++ b/routing/retries/src/RetryBudget.ts
@@ -1,30 +1,30 @@
-const SHARE = 0.1
-const MAX_SAVED = 20
-// A service with little traffic has earned little when its first failure comes; its lookups must be answered all the same.
-const INITIAL = 5
+const RETRY_RATIO = 0.1
+const MAX_BALANCE = 20
+// Allows retries for services whose traffic is too low to build up a balance.
+const INITIAL_BALANCE = 5
 
 /**
- * Further attempts (retries and hedges) that a service may cost: a tenth of its first attempts, and five to begin with.
- * A failing service never sees more than 1.1 times its traffic and those five from one instance.
+ * Limits the retries and hedges of a service to a tenth of its first attempts, plus five initially. A failing service receives at most 1.1 times its
+ * traffic plus five attempts from one instance.
  */
 export class RetryBudget {
-  private balance = INITIAL
+  private balance = INITIAL_BALANCE
 
   /** Counts a first attempt. */
   noteRequest (): void {
-    this.balance = Math.min(MAX_SAVED, this.balance + SHARE)
+    this.balance = Math.min(MAX_BALANCE, this.balance + RETRY_RATIO)
   }
 
-  /** Takes the right to one further attempt; false when there is none. */
+  /** Takes one retry out of the budget; returns false when it is exhausted. */
   take (): boolean {
-    // Tenths don't add up exactly in binary.
+    // Tolerates floating-point rounding.
     if (this.balance < 1 - 1e-9) return false
     this.balance -= 1
     return true
   }
 
-  /** Gives back a right that was taken and not used. */
+  /** Returns a retry that was taken and not used. */
   giveBack (): void {
-    this.balance = Math.min(MAX_SAVED, this.balance + 1)
+    this.balance = Math.min(MAX_BALANCE, this.balance + 1)
   }
 }
--- a/routing/retries/src/RetryBudgets.ts
+++ b/routing/retries/src/RetryBudgets.ts
@@ -2,34 +2,33 @@
 import { defineChannel, type PeerNetwork } from '@pulleystack/membership.peers'
 import { WindowBudget } from './WindowBudget.js'
 
-/** Asks a peer for a part of its extra. */
+/** Requests a part of a peer's allowance. */
 interface LoanRequest {
   service: string
   amount: number
-  /** Milliseconds for which it is used at the most. */
+  /** Maximum time that the loan is used, in milliseconds. */
   forMs: number
 }
 
 const LOANS = defineChannel<LoanRequest, number>('retries.loans')
-/** A peer that does not answer within this time is left out; an answer takes a few milliseconds. */
-const LOAN_CALL_MS = 500
-/** Peers are asked so often while something is missing; they lend from what each has left. */
-const ASK_AGAIN_MS = 1_000
-/** Instances that serve have heard of each other within this time: a dial that is given up after 2 s, and the next one. */
-const HEARD_MS = 2_500
+const LOAN_TIMEOUT_MS = 500
+/** Minimum interval between loan requests for a service. */
+const LOAN_RETRY_MS = 1_000
+/** Serving instances discover each other within this time; covers a failed dial and the next one. */
+const DISCOVERY_MS = 2_500
 
-/** What a former life spent counts for a window, and for what its clock was coarser by. */
-const FORMER_WINDOWS = 1.1
+/** Number of windows for which attempts of a previous process run may count; more than one because of its bucket granularity. */
+const PREVIOUS_RUN_WINDOWS = 1.1
 
-/** How an instance stands among those that draw on the same budgets. */
+/** An instance's view of the instances that share its budgets. */
 export interface BudgetStanding {
-  /** Instances that draw on them, this one among them. */
+  /** Number of instances that share the budgets, including this one. */
   countInstances: () => number
-  /** Milliseconds for which this life has been sharing them; infinite when all others began together with it; 0 while that is not known. */
+  /** Milliseconds for which this process has shared them; infinite when all instances started together; 0 while unknown. */
   readSharingMs: () => number
-  /** Milliseconds since this life began; infinite when the instance had none before. */
+  /** Milliseconds since this process started; infinite if the instance had no previous process run. */
   readLifeMs: () => number
-  /** Names of the other instances that share them and can be asked. */
+  /** Names of the other reachable instances that share the budgets. */
   listPeers: () => readonly string[]
 }
 
@@ -37,30 +36,28 @@
   clock: Clock
   network: PeerNetwork
   standing: BudgetStanding
-  /** As WindowBudgetOptions says. */
+  /** See `WindowBudgetOptions`. */
   ratio: number
   extra: number
   windowMs: number
 }
 
 /**
- * One instance's budgets for further attempts, one for each service. Nobody knows what a former life of the instance has spent, in its last window,
- * of its part of the fixed extra and of what its requests had earned, so that a new life has neither until a window has passed. Meanwhile it borrows
- * of what the others have left: with instances stopped and started in turn, few requests lose their further attempt, and the sum over all stays the
- * same whatever restarts.
+ * One instance's retry budgets, one per service. After a restart, attempts of the previous process run may still count, so the instance has no share of
+ * the fixed allowance and earns nothing until a window has passed. Meanwhile it borrows from its peers, which keeps the total over all instances unchanged.
  */
 export class RetryBudgets {
   private readonly budgets = new Map<string, WindowBudget>()
-  /** Monotone time from which on peers may be asked again, by service. */
-  private readonly askAgainAt = new Map<string, number>()
+  /** Monotonic times from which peers may be asked for loans again, by service. */
+  private readonly nextLoanRequestAt = new Map<string, number>()
 
   constructor (private readonly opts: RetryBudgetsOptions) {
     opts.network.handleCalls(LOANS, (_, { service, amount, forMs }) => this.find(service).lend(amount, forMs))
   }
 
   find (service: string): WindowBudget {
-    const present = this.budgets.get(service)
-    if (present) return present
+    const existing = this.budgets.get(service)
+    if (existing) return existing
     const { clock, ratio, extra, windowMs, standing } = this.opts
     const created = new WindowBudget({
       clock,
@@ -68,39 +65,39 @@
       extra,
       windowMs,
       countInstances: standing.countInstances,
-      ownsPart: () => this.remainingMs <= 0,
-      mayEarn: () => standing.readLifeMs() >= windowMs * FORMER_WINDOWS,
+      ownsShare: () => this.msUntilOwnShare <= 0,
+      mayEarn: () => standing.readLifeMs() >= windowMs * PREVIOUS_RUN_WINDOWS,
     })
     this.budgets.set(service, created)
     return created
   }
 
-  /** Counts a request of a client; makes sure that a further attempt can be paid for. */
+  /** Counts a client request; requests loans from peers if the budget is short. */
   noteRequest (service: string): void {
     const budget = this.find(service)
     budget.noteRequest()
-    if (budget.missing > 0) this.borrowMissing(service, budget)
+    if (budget.shortfall > 0) this.borrowShortfall(service, budget)
   }
 
-  /** Milliseconds until the part of the extra is this life's own. */
-  private get remainingMs (): number {
-    return this.opts.windowMs + HEARD_MS - this.opts.standing.readSharingMs()
+  /** Milliseconds until this process owns its share of the allowance. */
+  private get msUntilOwnShare (): number {
+    return this.opts.windowMs + DISCOVERY_MS - this.opts.standing.readSharingMs()
   }
 
-  private borrowMissing (service: string, budget: WindowBudget): void {
+  private borrowShortfall (service: string, budget: WindowBudget): void {
     const now = this.opts.clock.readTime()
     const peers = this.opts.standing.listPeers()
-    if (peers.length === 0 || now < (this.askAgainAt.get(service) ?? -Infinity)) return
-    this.askAgainAt.set(service, now + ASK_AGAIN_MS)
-    const amount = Math.ceil(budget.missing / peers.length)
-    for (const peer of peers) void this.askForLoan(peer, { service, amount, forMs: this.remainingMs })
+    if (peers.length === 0 || now < (this.nextLoanRequestAt.get(service) ?? -Infinity)) return
+    this.nextLoanRequestAt.set(service, now + LOAN_RETRY_MS)
+    const amount = Math.ceil(budget.shortfall / peers.length)
+    for (const peer of peers) void this.requestLoan(peer, { service, amount, forMs: this.msUntilOwnShare })
   }
 
-  private async askForLoan (peer: string, request: LoanRequest): Promise<void> {
+  private async requestLoan (peer: string, request: LoanRequest): Promise<void> {
     const { clock, network } = this.opts
-    const askedAt = clock.readTime()
-    const lent = await network.call(peer, LOANS, request, LOAN_CALL_MS)
-    // The lender counts from a later moment, so that it never has back what is still used here.
-    if (lent.isOk()) this.find(request.service).borrow(lent.value, request.forMs - (clock.readTime() - askedAt))
+    const requestedAt = clock.readTime()
+    const lent = await network.call(peer, LOANS, request, LOAN_TIMEOUT_MS)
+    // Counted from before the call, so that the loan expires here before the lender gets it back.
+    if (lent.isOk()) this.find(request.service).borrow(lent.value, request.forMs - (clock.readTime() - requestedAt))
   }
 }
--- a/routing/retries/src/RetryPermit.ts
+++ b/routing/retries/src/RetryPermit.ts
@@ -1,21 +1,21 @@
 /**
- * The right to one further attempt. An attempt may wait for its place for seconds, so that it counts from when the right was given, and in the
- * window in which it is sent.
+ * A permit for one retry. It counts as reserved while the attempt waits for a slot, which may take seconds, and as an attempt in the window in which it
+ * is sent.
  */
 export class RetryPermit {
-  private isOpen = true
+  private isReserved = true
 
-  constructor (private readonly release: () => void, private readonly count: () => boolean) {}
+  constructor (private readonly release: () => void, private readonly spend: () => boolean) {}
 
-  /** Counts the attempt as made now; false when the budget has shrunk too far meanwhile. */
+  /** Counts the attempt as made now; returns false when the budget has shrunk too far in the meantime. */
   take (): boolean {
     this.giveBack()
-    return this.count()
+    return this.spend()
   }
 
-  /** Gives an unused right back. */
+  /** Releases the reservation if it is unused. */
   giveBack (): void {
-    if (this.isOpen) this.release()
-    this.isOpen = false
+    if (this.isReserved) this.release()
+    this.isReserved = false
   }
 }
--- a/routing/retries/src/WindowBudget.ts
+++ b/routing/retries/src/WindowBudget.ts
@@ -2,145 +2,141 @@
 import { ExtraLoans } from './ExtraLoans.js'
 import { RetryPermit } from './RetryPermit.js'
 
-const BUCKETS = 10
-/** Attempts count for one bucket longer than requests, so that no window, wherever it begins, holds more than it may. */
-const KEPT = BUCKETS + 1
-/** Requests of two windows are remembered, since what earns is the least that came in any window of the last one. */
-const KEPT_REQUESTS = 2 * BUCKETS + 1
+const BUCKETS_PER_WINDOW = 10
+/** One more than a window has, so that the limit holds for windows that begin within a bucket. */
+const ATTEMPT_BUCKETS = BUCKETS_PER_WINDOW + 1
+/** Two windows, as the budget is based on the smallest count of any window that ended within the last one. */
+const REQUEST_BUCKETS = 2 * BUCKETS_PER_WINDOW + 1
 
 export interface WindowBudgetOptions {
   clock: Clock
-  /** Further attempts for each request. */
+  /** Retries earned per request. */
   ratio: number
-  /** Further attempts beside those, in one window, over all instances. */
+  /** Additional retries per window, across all instances. */
   extra: number
   windowMs: number
-  /** Instances that draw on the same budget. */
+  /** Number of instances that share the budget. */
   countInstances: () => number
-  /** Whether the part of the extra is this instance's own, and not still what a former life of it may have spent; always when left out. */
-  ownsPart?: () => boolean
-  /** Whether requests earn further attempts, and a former life may not have spent what came to the same window; always when left out. */
+  /** Whether this process owns its share of `extra`; false while a previous process run may have used it. Default: always. */
+  ownsShare?: () => boolean
+  /** Whether requests earn retries; false while a previous process run may have spent those of the same window. Default: always. */
   mayEarn?: () => boolean
 }
 
-/** What one instance's budget stands on at a moment. */
+/** Snapshot of one instance's budget. */
 export interface BudgetFacts {
   left: number
-  /** What this instance may spend of the fixed extra. */
+  /** This instance's current part of the fixed allowance. */
   extra: number
   instances: number
-  /** Milliseconds since the budget was first asked for. */
+  /** Milliseconds since the budget was created. */
   lifeMs: number
 }
 
 /**
- * Further attempts that one instance may cause at a service in any window of time, so that all instances together stay
- * within a common bound: a share of its own requests and its part of the fixed extra, less what it has lent of that.
+ * Limits one instance's retries of a service in any time window, so that all instances together stay within a common limit: a ratio of its own requests
+ * plus its share of the fixed allowance, less what it has lent.
  *
- * Instances spend their last at different moments, and one that died spends no more. Counting the requests of its own last window, each would count
- * other ones, and those of clients that went from one instance to another twice: 193 attempts were made where 192 were allowed, when seven of eight
- * instances had died. So requests earn by the window of the last one that held the fewest: whatever window of attempts is looked at, all instances then
- * count no more than came in the window before it. Callers lose 8 % of all further attempts while everything fails (488 for 534 in 30 s at 60 requests
- * a second, 8 instances), and while traffic grows its growth of 10 s.
+ * The ratio applies to the smallest request count of any window that ended within the last window. Otherwise, clients that move to another instance
+ * would be counted by both instances.
  */
 export class WindowBudget {
-  private readonly requests = new Array<number>(KEPT_REQUESTS).fill(0)
-  private readonly attempts = new Array<number>(KEPT).fill(0)
-  /** Rights that were given out and not used yet. */
+  private readonly requests = new Array<number>(REQUEST_BUCKETS).fill(0)
+  private readonly attempts = new Array<number>(ATTEMPT_BUCKETS).fill(0)
+  /** Permits that were issued and not used yet. */
   private reserved = 0
-  private newest = 0
+  private newestBucket = 0
   private readonly firstBucket: number
   private readonly startedAt: number
   private readonly loans: ExtraLoans
 
   constructor (private readonly opts: WindowBudgetOptions) {
     this.startedAt = opts.clock.readTime()
-    this.firstBucket = this.turn()
+    this.firstBucket = this.updateBuckets()
     this.loans = new ExtraLoans(opts.clock)
   }
 
-  /** Counts a request of a client. */
+  /** Counts a client request. */
   noteRequest (): void {
-    const bucket = this.turn() % KEPT_REQUESTS
+    const bucket = this.updateBuckets() % REQUEST_BUCKETS
     this.requests[bucket] = (this.requests[bucket] ?? 0) + 1
   }
 
-  /** Takes the right to one further attempt that is made now; false when there is none. */
+  /** Counts a retry that is made now; returns false when none is left. */
   take (): boolean {
-    const bucket = this.turn() % KEPT
+    const bucket = this.updateBuckets() % ATTEMPT_BUCKETS
     if (this.left < 1) return false
     this.attempts[bucket] = (this.attempts[bucket] ?? 0) + 1
     return true
   }
 
-  /** Keeps the right to one further attempt that is made later; undefined when there is none. */
+  /** Reserves a retry that is made later; returns undefined when none is left. */
   reserve (): RetryPermit | undefined {
     if (this.left < 1) return undefined
     this.reserved++
     return new RetryPermit(() => this.reserved--, () => this.take())
   }
 
-  /** Further attempts that could be taken now. */
+  /** Number of retries that are available now. */
   get left (): number {
-    this.turn()
-    const earning = this.mayEarn ? this.countEarning() : 0
-    return this.opts.ratio * earning + this.extra - sum(this.attempts) - this.reserved
+    this.updateBuckets()
+    const earningRequests = this.mayEarn ? this.countEarningRequests() : 0
+    return this.opts.ratio * earningRequests + this.extra - sum(this.attempts) - this.reserved
   }
 
-  /** An instance's part of the fixed extra when all have theirs. */
-  get part (): number {
+  /** An instance's equal share of the fixed allowance. */
+  get share (): number {
     return Math.floor(this.opts.extra / Math.max(1, this.opts.countInstances()))
   }
 
-  /** What this instance lacks of its part. */
-  get missing (): number {
-    return this.ownsPart ? 0 : Math.max(0, this.part - this.loans.borrowedAmount)
+  /** What this instance lacks of its share, after loans. */
+  get shortfall (): number {
+    return this.ownsShare ? 0 : Math.max(0, this.share - this.loans.borrowedAmount)
   }
 
   /**
-   * Lends up to half of what is left of the own part to an instance that uses it for so long at the most; gives what was lent. It comes back a window
-   * later, so that no window holds both instances' attempts for it.
+   * Lends up to half of what is left of this instance's share for at most `durationMs` milliseconds of use, and returns the amount lent. The loan is only
+   * available here again a window later, so that no window contains attempts of both instances for it.
    */
-  lend (amount: number, forMs: number): number {
+  lend (amount: number, durationMs: number): number {
     const { windowMs } = this.opts
-    const spare = this.ownsPart ? Math.min(this.left, this.part - this.loans.lentAmount) : 0
+    const spare = this.ownsShare ? Math.min(this.left, this.share - this.loans.lentAmount) : 0
     const lent = Math.max(0, Math.min(Math.floor(amount), Math.ceil(Math.floor(spare) / 2)))
-    if (lent > 0) this.loans.noteLent(lent, forMs + windowMs * KEPT / BUCKETS)
+    if (lent > 0) this.loans.recordLent(lent, durationMs + windowMs * ATTEMPT_BUCKETS / BUCKETS_PER_WINDOW)
     return lent
   }
 
-  /** Adds what another instance has lent for so long. */
-  borrow (amount: number, forMs: number): void {
-    if (amount > 0) this.loans.noteBorrowed(amount, forMs)
+  /** Adds a loan from another instance that expires after `durationMs` milliseconds. */
+  borrow (amount: number, durationMs: number): void {
+    if (amount > 0) this.loans.recordBorrowed(amount, durationMs)
   }
 
-  /** What decides about the next further attempt. */
   describe (): BudgetFacts {
     const { clock, countInstances } = this.opts
     return { left: this.left, extra: this.extra, instances: countInstances(), lifeMs: Math.round(clock.readTime() - this.startedAt) }
   }
 
-  /** The fewest requests of any window of the last one; windows that began before this budget say nothing. */
-  private countEarning (): number {
-    const age = this.newest - this.firstBucket
-    const shifts = Math.max(0, Math.min(BUCKETS, age - BUCKETS + 1))
+  /** Smallest request count of any window that ended within the last window; windows that began before this budget are ignored. */
+  private countEarningRequests (): number {
+    const age = this.newestBucket - this.firstBucket
+    const shifts = Math.max(0, Math.min(BUCKETS_PER_WINDOW, age - BUCKETS_PER_WINDOW + 1))
     let counted = 0
-    for (let back = 0; back < BUCKETS; back++) counted += this.readRequests(back)
-    let least = counted
+    for (let bucketAge = 0; bucketAge < BUCKETS_PER_WINDOW; bucketAge++) counted += this.readRequests(bucketAge)
+    let fewest = counted
     for (let shift = 1; shift <= shifts; shift++) {
-      counted += this.readRequests(shift + BUCKETS - 1) - this.readRequests(shift - 1)
-      least = Math.min(least, counted)
+      counted += this.readRequests(shift + BUCKETS_PER_WINDOW - 1) - this.readRequests(shift - 1)
+      fewest = Math.min(fewest, counted)
     }
-    return least
+    return fewest
   }
 
-  /** Requests of the bucket so many before that of now. */
-  private readRequests (back: number): number {
-    return this.newest < back ? 0 : this.requests[(this.newest - back) % KEPT_REQUESTS] ?? 0
+  /** Request count of the bucket that is `age` buckets older than the current one. */
+  private readRequests (age: number): number {
+    return this.newestBucket < age ? 0 : this.requests[(this.newestBucket - age) % REQUEST_BUCKETS] ?? 0
   }
 
-  private get ownsPart (): boolean {
-    return this.opts.ownsPart?.() ?? true
+  private get ownsShare (): boolean {
+    return this.opts.ownsShare?.() ?? true
   }
 
   private get mayEarn (): boolean {
@@ -148,18 +144,18 @@
   }
 
   private get extra (): number {
-    return this.ownsPart ? this.part - this.loans.lentAmount : this.loans.borrowedAmount
+    return this.ownsShare ? this.share - this.loans.lentAmount : this.loans.borrowedAmount
   }
 
-  /** Empties the buckets whose time has passed; gives the number of the one of now. */
-  private turn (): number {
-    const now = Math.floor(this.opts.clock.readTime() / (this.opts.windowMs / BUCKETS))
-    for (let at = Math.max(this.newest + 1, now - KEPT_REQUESTS + 1); at <= now; at++) {
-      this.requests[at % KEPT_REQUESTS] = 0
-      this.attempts[at % KEPT] = 0
+  /** Clears expired buckets and returns the number of the current one. */
+  private updateBuckets (): number {
+    const current = Math.floor(this.opts.clock.readTime() / (this.opts.windowMs / BUCKETS_PER_WINDOW))
+    for (let bucket = Math.max(this.newestBucket + 1, current - REQUEST_BUCKETS + 1); bucket <= current; bucket++) {
+      this.requests[bucket % REQUEST_BUCKETS] = 0
+      this.attempts[bucket % ATTEMPT_BUCKETS] = 0
     }
-    this.newest = Math.max(this.newest, now)
-    return now
+    this.newestBucket = Math.max(this.newestBucket, current)
+    return current
   }
 }
 
--- a/routing/retries/test/WindowBudget.test.ts
+++ b/routing/retries/test/WindowBudget.test.ts
@@ -12,13 +12,13 @@
   return takes
 }
 
-describe('a budget for further attempts in a window', () => {
-  it('gives an instance its part of the extra, rounded down', () => {
+describe('WindowBudget', () => {
+  it('gives an instance its share of the fixed allowance, rounded down', () => {
     const budget = new WindowBudget({ ...OPTS, clock: new ManualClock(), countInstances: () => 7 })
     assert.equal(countTakes(budget), 7)
   })
 
-  it('grows with the requests and is given back only when its window has passed', async () => {
+  it('grows with the requests, and attempts count until their window has passed', async () => {
     const clock = new ManualClock()
     const budget = new WindowBudget({ ...OPTS, clock, countInstances: () => 54 })
     for (let i = 0; i < 50; i++) budget.noteRequest()
@@ -29,7 +29,7 @@
     assert.equal(countTakes(budget), 1)
   })
 
-  it('remembers attempts for the whole window, wherever they fall in it', async () => {
+  it('counts attempts for a whole window, wherever they fall within a bucket', async () => {
     const clock = new ManualClock()
     const budget = new WindowBudget({ ...OPTS, clock, countInstances: () => 1 })
     await clock.advance(999)
@@ -48,7 +48,7 @@
     assert.equal(budget.take(), false)
   })
 
-  describe('of which rights are reserved', () => {
+  describe('with reserved permits', () => {
     let clock: ManualClock
     let budget: WindowBudget
 
@@ -57,14 +57,14 @@
       budget = new WindowBudget({ ...OPTS, clock, countInstances: () => 27 })
     })
 
-    it('counts them while they wait, however long that is', async () => {
+    it('counts reservations without a time limit', async () => {
       assert.ok(budget.reserve() && budget.reserve())
       assert.equal(budget.reserve(), undefined)
       await clock.advance(OPTS.windowMs * 3)
       assert.equal(budget.left, 0)
     })
 
-    it('counts one as long as any attempt from the moment that it is used', async () => {
+    it('counts a permit as an attempt from the time of its use', async () => {
       const permit = budget.reserve()
       await clock.advance(OPTS.windowMs * 3)
       assert.equal(permit?.take(), true)
@@ -74,14 +74,14 @@
       assert.equal(budget.left, 2)
     })
 
-    it('has back, once, what was not used', () => {
+    it('gets an unused permit back only once', () => {
       const permit = budget.reserve()
       permit?.giveBack()
       permit?.giveBack()
       assert.equal(budget.left, 2)
     })
 
-    it('refuses one that it can\'t bear any more', () => {
+    it('denies a permit after the budget has shrunk', () => {
       let instances = 27
       const shrinking = new WindowBudget({ ...OPTS, clock, countInstances: () => instances })
       const permit = shrinking.reserve()
@@ -90,7 +90,7 @@
     })
   })
 
-  describe('of which a part is lent', () => {
+  describe('with loans', () => {
     const USE_MS = 3_000
     let clock: ManualClock
     let budget: WindowBudget
@@ -100,23 +100,23 @@
       budget = new WindowBudget({ ...OPTS, clock, countInstances: () => 6 })
     })
 
-    it('keeps half of what is left for its own', () => {
+    it('lends at most half of what is left', () => {
       assert.deepEqual([budget.lend(20, USE_MS), budget.lend(20, USE_MS), budget.left], [5, 2, 2])
     })
 
-    it('lends nothing of what it has spent', () => {
+    it('does not lend what is already spent', () => {
       for (let i = 0; i < 7; i++) budget.take()
       assert.deepEqual([budget.lend(4, USE_MS), budget.left], [1, 1])
     })
 
-    it('lends no more than its part, however much its requests have earned', () => {
+    it('lends no more than its share, even when requests have earned more', () => {
       for (let i = 0; i < 500; i++) budget.noteRequest()
       let lent = 0
       for (let i = 0; i < 20; i++) lent += budget.lend(20, USE_MS)
       assert.equal(lent, 9)
     })
 
-    it('has it back only when no window holds the attempts of both', async () => {
+    it('gets a loan back only when no window contains attempts of both instances', async () => {
       budget.lend(4, USE_MS)
       await clock.advance(USE_MS + OPTS.windowMs)
       assert.equal(countTakes(budget), 5)
@@ -124,14 +124,14 @@
       assert.equal(countTakes(budget), 9)
     })
 
-    it('is not lent on by one that owns no part itself', () => {
-      const borrower = new WindowBudget({ ...OPTS, clock, countInstances: () => 6, ownsPart: () => false })
+    it('does not lend out borrowed retries', () => {
+      const borrower = new WindowBudget({ ...OPTS, clock, countInstances: () => 6, ownsShare: () => false })
       borrower.borrow(4, USE_MS)
       assert.deepEqual([borrower.left, borrower.lend(1, USE_MS)], [4, 0])
     })
   })
 
-  it('keeps all instances together within the bound in every window, whatever comes', async () => {
+  it('keeps all instances together within the limit in every window', async () => {
     const step = fc.record({ instance: fc.nat(2), requests: fc.nat(5), tries: fc.nat(20), ms: fc.nat(1_500) })
     await fc.assert(fc.asyncProperty(fc.array(step, { maxLength: 60 }), async (steps) => {
       const clock = new ManualClock()
--- a/routing/retries/test/retries.test.ts
+++ b/routing/retries/test/retries.test.ts
@@ -5,7 +5,7 @@
 import { computeBackoff, listUsable, OutlierDetector, RetryBudget } from '../src/index.js'
 
 describe('RetryBudget', () => {
-  it('never allows more than a tenth of the requests and the five to begin with', async () => {
+  it('never allows more than a tenth of the requests plus the initial five', async () => {
     await checkProperty([fc.array(fc.boolean(), { maxLength: 500 })], (isRequest) => {
       const budget = new RetryBudget()
       let requests = 0
@@ -36,21 +36,21 @@
     return Array.from({ length: 5 }, () => detector.noteFailure(now, 0.5)).includes(true)
   }
 
-  it('takes a server out after five failures in a row and lets it back after a while', () => {
+  it('ejects a server after five consecutive failures and readmits it later', () => {
     const detector = new OutlierDetector()
     assert.equal(eject(detector, 0), true)
     assert.equal(detector.isEjected(1_000), true)
     assert.equal(detector.isEjected(2_500), false)
   })
 
-  it('takes it out for longer each time', () => {
+  it('ejects it for longer each time', () => {
     const detector = new OutlierDetector()
     eject(detector, 0)
     eject(detector, 10_000)
     assert.equal(detector.isEjected(13_000), true)
   })
 
-  it('is not disturbed by failures between successes', () => {
+  it('ignores failures that alternate with successes', () => {
     const detector = new OutlierDetector()
     for (let i = 0; i < 50; i++) {
       assert.equal(detector.noteFailure(i, 0.5), false)
@@ -58,7 +58,7 @@
     }
   })
 
-  it('uses every server when more than half are out', () => {
+  it('uses all servers when more than half are ejected', () => {
     const servers = Array.from({ length: 4 }, () => ({ outlier: new OutlierDetector(), isSilent: () => false }))
     servers.slice(0, 2).forEach((server) => eject(server.outlier, 0))
     assert.equal(listUsable(servers, 100).length, 2)
