--- a/routing/limits/src/CountedLimits.ts
+++ b/routing/limits/src/CountedLimits.ts
@@ -4,14 +4,13 @@
 import type { RateVerdict } from './RatePool.js'
 import { TeamLimits } from './TeamLimits.js'
 
-const USED = defineChannel<[team: string, units: number][]>('limits.used', { isOnce: true })
-/** What was used is told so often. */
-const TELL_MS = 100
+const USAGE = defineChannel<[team: string, units: number][]>('limits.used', { isOnce: true })
+const ANNOUNCE_INTERVAL_MS = 100
 
-/** A team's bucket as one instance knows it. */
+/** One instance's replica of a team's token bucket. */
 interface Bucket {
   level: number
-  filledAt: number
+  refilledAt: number
 }
 
 export interface CountedLimitsOptions {
@@ -21,65 +20,65 @@
 }
 
 /**
- * Quotas by counters that are told to all: every instance keeps a bucket for the whole system and takes from it what it uses and what others tell. No
- * request waits for another instance; what nobody knows yet goes over the quota, and what is lost with a message or a life is never counted.
+ * Enforces quotas with replicated counters: every instance keeps a bucket for the whole system and deducts its own usage and the usage that others announce.
+ * No request waits for another instance, but usage that isn't announced yet exceeds the quota, and usage lost with a message or a process is not counted.
  */
 export class CountedLimits extends TeamLimits {
   private readonly buckets = new Map<string, Bucket>()
-  private readonly untold = new Map<string, number>()
+  private readonly unannounced = new Map<string, number>()
 
   constructor (private readonly opts: CountedLimitsOptions) {
     super()
   }
 
   override start (signal: AbortSignal): void {
-    const told = this.opts.network.receive(USED).subscribe(({ body }) => {
+    const subscription = this.opts.network.receive(USAGE).subscribe(({ body }) => {
       for (const [name, units] of body) this.count(name, units)
     })
-    signal.addEventListener('abort', () => told.unsubscribe(), { once: true })
-    void this.keepTelling(signal)
+    signal.addEventListener('abort', () => subscription.unsubscribe(), { once: true })
+    void this.runAnnounceLoop(signal)
   }
 
   override acquire (team: Team, units: number): Promise<RateVerdict> {
     if (!team.quota) return Promise.resolve({ isGranted: true })
-    const { level } = this.fill(team.name)
+    const { level } = this.refill(team.name)
     if (level < units) return Promise.resolve({ isGranted: false, retryAfterMs: (units - level) * 1000 / team.quota.ratePerSecond })
     this.count(team.name, units)
-    this.noteUntold(team.name, units)
+    this.recordUnannounced(team.name, units)
     return Promise.resolve({ isGranted: true })
   }
 
   override giveBack (team: Team, units: number): void {
     this.count(team.name, -units)
-    this.noteUntold(team.name, -units)
+    this.recordUnannounced(team.name, -units)
   }
 
-  private noteUntold (name: string, units: number): void {
-    this.untold.set(name, (this.untold.get(name) ?? 0) + units)
+  private recordUnannounced (name: string, units: number): void {
+    this.unannounced.set(name, (this.unannounced.get(name) ?? 0) + units)
   }
 
   private count (name: string, units: number): void {
-    this.fill(name).level -= units
+    this.refill(name).level -= units
   }
 
-  /** The bucket with what came to it since it was last looked at; a new one is empty. */
-  private fill (name: string): Bucket {
+  /** Returns the bucket, refilled up to the current time; a new one is empty. */
+  private refill (name: string): Bucket {
     const now = this.opts.clock.readTime()
     const quota = this.opts.readTable()?.findTeam(name)?.quota
-    const bucket = this.buckets.get(name) ?? { level: 0, filledAt: now }
+    const bucket = this.buckets.get(name) ?? { level: 0, refilledAt: now }
     this.buckets.set(name, bucket)
-    if (quota) bucket.level = Math.min(quota.burst, bucket.level + quota.ratePerSecond / 1000 * (now - bucket.filledAt))
-    bucket.filledAt = now
+    if (quota) bucket.level = Math.min(quota.burst, bucket.level + quota.ratePerSecond / 1000 * (now - bucket.refilledAt))
+    bucket.refilledAt = now
     return bucket
   }
 
-  private async keepTelling (signal: AbortSignal): Promise<void> {
+  private async runAnnounceLoop (signal: AbortSignal): Promise<void> {
     const { clock, network } = this.opts
     while (!signal.aborted) {
-      await clock.wait(TELL_MS, signal)
-      if (this.untold.size === 0) continue
-      network.broadcast(USED, [...this.untold])
-      this.untold.clear()
+      await clock.wait(ANNOUNCE_INTERVAL_MS, signal)
+      if (this.unannounced.size === 0) continue
+      network.broadcast(USAGE, [...this.unannounced])
+      this.unannounced.clear()
     }
   }
 }
--- a/routing/limits/src/RatePools.ts
+++ b/routing/limits/src/RatePools.ts
@@ -5,28 +5,26 @@
 import type { Result } from 'neverthrow'
 import { RatePool, type PooledRate, type RateBounds } from './RatePool.js'
 
-/** Milliseconds that an instance brings for groups of rates; one on standby lends them for all. `sentAt` is its monotone time. */
-export type EarnedTime =
+/** Milliseconds that an instance contributes to groups of rates; an instance on standby lends them for all groups. `sentAt` is the sender's monotonic time. */
+export type TimeContribution =
   | { kind: 'brought', sentAt: number, groups: [group: number, ms: number][] }
   | { kind: 'lent', sentAt: number, ms: number }
 
-/** Earned time is brought so often: 28 instances that serve send 28 x GROUPS x 4 messages a second with it, all together. */
-const BRING_MS = 250
-/** Time not brought by then is lost, so that it is never spent beside what is earned later: of a process that did not run, over a link that was silent. */
-const KEEP_MS = 300
-/** Rates share pools' owners by groups. More owners: a lost one holds up fewer rates; fewer: less is sent. */
-const GROUPS = 8
-/** An owner that did not answer is not asked again for so long; by then its link has been found to be silent. */
-const AVOID_MS = 2_500
-/** A request asks so many owners, one after the other. */
-const MAX_ASKS = 3
-
-/** How an instance stands among those that share rates. */
+/** Each serving instance sends up to one message per group in this interval. */
+const CONTRIBUTION_INTERVAL_MS = 250
+/** Time not delivered within this period is discarded, so that delayed time is never spent in addition to later time. */
+const CONTRIBUTION_EXPIRY_MS = 300
+/** Pools are assigned to owners in groups: more groups reduce the effect of a failed owner, fewer groups reduce messages. */
+const GROUP_COUNT = 8
+/** An owner that didn't respond is avoided for this long; by then the failure of its link has been detected. */
+const OWNER_RETRY_MS = 2_500
+const MAX_OWNER_CALLS = 3
+
+/** An instance's view of the instances that share rates. */
 export interface LimitsStanding {
   instance: string
-  /** All instances that may exist, this one among them, whether they serve or not; undefined while that is not known. */
+  /** Number of all instances that may exist, including this one and those that don't serve; undefined while unknown. */
   countInstances: () => number | undefined
-  /** Whether this instance serves. */
   isServing: () => boolean
   /** The other instances that serve and have a live link. */
   listServing: () => readonly string[]
@@ -37,72 +35,71 @@
   network: PeerNetwork
   standing: LimitsStanding
   bounds: RateBounds
-  /** Carries the time that instances earned. */
-  earned: Channel<EarnedTime>
-  /** Tells these pools from those of other rates when an owner is chosen. */
-  kind: string
-  /** Rates in force, as far as this instance knows, by name. */
+  /** Channel for time contributions. */
+  contributions: Channel<TimeContribution>
+  /** Distinguishes these pools from those of other rates when owners are chosen. */
+  namespace: string
+  /** Rates that this instance knows, by name. */
   listRates: () => ReadonlyMap<string, PooledRate>
-  /** Whether an instance on standby lends its time; false while no rate can be in force. */
+  /** Whether an instance on standby must lend its time; false while no rate can apply. */
   mustLend: () => boolean
 }
 
-/** How an owner is asked: by a call of its own methods, or by a message. */
+/** How an owner is called: directly if it is this instance, otherwise by a message. */
 export interface OwnerCall<Answer> {
-  askSelf: () => Answer
-  askPeer: (owner: string) => Promise<Result<Answer, PulleystackError>>
+  runLocally: () => Answer
+  callPeer: (owner: string) => Promise<Result<Answer, PulleystackError>>
 }
 
 /**
- * Rates that all instances keep together, by one pool a rate at an instance that all agree on (rendezvous hashing over those that serve). Whoever wants
- * units asks the pool's owner, which takes a few milliseconds; no bound stands on who knows what when, as time that an instance earned is spent at the
- * one place that it was brought to.
+ * Enforces rates across all instances with one pool per rate, owned by an instance chosen by rendezvous hashing over the serving instances. Instances
+ * request units from the pool's owner. The limit holds even if instances disagree on the owner, since each contributes its time to one pool only.
  */
 export class RatePools {
   private readonly pools = new Map<string, RatePool>()
   private readonly avoidedUntil = new Map<string, number>()
-  /** Monotone times at which peers last brought time. */
-  private readonly broughtAt = new Map<string, number>()
-  private earnedSince: number
-  /** Time that instances on standby lent and that is not brought to pools yet. */
+  /** Monotonic times of the last contribution, by peer. */
+  private readonly receivedAt = new Map<string, number>()
+  private lastContributionAt: number
+  /** Time lent by instances on standby that was not sent to pools yet. */
   private lentMs = 0
 
   constructor (private readonly opts: RatePoolsOptions) {
-    this.earnedSince = opts.clock.readTime()
+    this.lastContributionAt = opts.clock.readTime()
   }
 
-  /** Begins to bring what this instance earns; goes on until the signal ends. */
+  /** Starts contributing this instance's time; stops when the signal aborts. */
   start (signal: AbortSignal): void {
-    const earned = this.opts.network.receive(this.opts.earned).subscribe(({ from, body }) => this.takeEarned(from, body))
-    signal.addEventListener('abort', () => earned.unsubscribe(), { once: true })
-    void this.keepBringing(signal)
+    const subscription = this.opts.network.receive(this.opts.contributions).subscribe(({ from, body }) => this.applyContribution(from, body))
+    signal.addEventListener('abort', () => subscription.unsubscribe(), { once: true })
+    void this.runContributionLoop(signal)
   }
 
-  /** Asks the owner of a rate's pool; undefined when none answers. */
-  async ask<Answer> (name: string, call: OwnerCall<Answer>): Promise<Answer | undefined> {
-    for (let asks = 0; asks < MAX_ASKS; asks++) {
+  /** Calls the owner of a rate's pool; returns undefined when no owner responds. */
+  async callOwner<Answer> (name: string, call: OwnerCall<Answer>): Promise<Answer | undefined> {
+    for (let calls = 0; calls < MAX_OWNER_CALLS; calls++) {
       const owner = this.findOwner(name)
       if (owner === undefined) return undefined
-      if (owner === this.self) return call.askSelf()
-      const answer = await call.askPeer(owner)
+      if (owner === this.self) return call.runLocally()
+      const answer = await call.callPeer(owner)
       if (answer.isOk()) return answer.value
-      // What it may have taken is lost; the next owner has units of its own only.
-      this.avoidedUntil.set(owner, this.opts.clock.readTime() + AVOID_MS)
+      // Units that the failed owner may have taken are lost; the next owner has its own pool.
+      this.avoidedUntil.set(owner, this.opts.clock.readTime() + OWNER_RETRY_MS)
     }
     return undefined
   }
 
-  /** The instance that keeps the pool of a rate; undefined when none serves. */
+  /** The instance that owns the pool of a rate; undefined when no instance serves. */
   findOwner (name: string): string | undefined {
     return this.findGroupOwner(findGroup(name))
   }
 
-  /** The pool of a rate here, whoever should keep it. */
+  /** This instance's pool of a rate, whether or not it is the owner; created if needed. */
   findPool (name: string, rate: PooledRate): RatePool {
-    const present = this.pools.get(name)
-    if (present) {
-      present.setRate(rate)
-      return present
+    const existing = this.pools.get(name)
+    if (existing) {
+      existing.setRate(rate)
+      return existing
     }
     const { clock, bounds, standing } = this.opts
     const created = new RatePool({ clock, bounds, countInstances: () => standing.countInstances() ?? Infinity }, rate)
@@ -110,7 +107,7 @@
     return created
   }
 
-  /** Puts units back into a pool, if it is kept here. */
+  /** Returns units to a pool if this instance has it. */
   giveBack (name: string, units: number): void {
     this.pools.get(name)?.giveBack(units)
   }
@@ -120,48 +117,48 @@
   }
 
   private findGroupOwner (group: number): string | undefined {
-    const { standing, clock, kind } = this.opts
+    const { standing, clock, namespace } = this.opts
     const now = clock.readTime()
     const others = standing.listServing().filter((instance) => (this.avoidedUntil.get(instance) ?? -Infinity) <= now)
-    return findOwner(`${kind}/${group}`, standing.isServing() ? [this.self, ...others] : others)
+    return findOwner(`${namespace}/${group}`, standing.isServing() ? [this.self, ...others] : others)
   }
 
-  private async keepBringing (signal: AbortSignal): Promise<void> {
+  private async runContributionLoop (signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      await this.opts.clock.wait(BRING_MS, signal)
-      this.bring()
+      await this.opts.clock.wait(CONTRIBUTION_INTERVAL_MS, signal)
+      this.sendTime()
     }
   }
 
-  /** Brings what was earned since the last time to where it is spent. */
-  private bring (): void {
+  /** Sends the time elapsed since the last call to the owners of the pools. */
+  private sendTime (): void {
     const { clock, standing } = this.opts
     const now = clock.readTime()
-    const earnedMs = Math.min(KEEP_MS, now - this.earnedSince)
+    const earnedMs = Math.min(CONTRIBUTION_EXPIRY_MS, now - this.lastContributionAt)
     const ms = earnedMs + this.lentMs
-    this.earnedSince = now
+    this.lastContributionAt = now
     this.lentMs = 0
-    this.forgetIdle()
+    this.removeIdlePools()
     if (standing.countInstances() === undefined) return
-    if (standing.isServing()) this.bringToPools(ms, now)
+    if (standing.isServing()) this.sendToPools(ms, now)
     else this.lend(ms, now)
   }
 
-  private forgetIdle (): void {
+  private removeIdlePools (): void {
     for (const [name, pool] of this.pools) {
       if (pool.isIdle) this.pools.delete(name)
     }
   }
 
-  /** Leaves it to an instance that serves where the time goes. */
+  /** Lends the time to a serving instance, which distributes it to the pools. */
   private lend (ms: number, now: number): void {
-    const { network, standing, earned, mustLend } = this.opts
+    const { network, standing, contributions, mustLend } = this.opts
     if (!mustLend()) return
     const borrower = findOwner(this.self, standing.listServing())
-    if (borrower !== undefined) network.send(borrower, earned, { kind: 'lent', sentAt: now, ms })
+    if (borrower !== undefined) network.send(borrower, contributions, { kind: 'lent', sentAt: now, ms })
   }
 
-  private bringToPools (ms: number, now: number): void {
+  private sendToPools (ms: number, now: number): void {
     const groupsByOwner = new Map<string, [number, number][]>()
     const groups = new Set([...this.opts.listRates().keys()].map(findGroup))
     for (const group of groups) {
@@ -169,31 +166,31 @@
       if (owner === this.self) this.addTime(group, ms)
       else if (owner !== undefined) groupsByOwner.set(owner, [...groupsByOwner.get(owner) ?? [], [group, ms]])
     }
-    for (const [owner, brought] of groupsByOwner) this.opts.network.send(owner, this.opts.earned, { kind: 'brought', sentAt: now, groups: brought })
+    for (const [owner, brought] of groupsByOwner) this.opts.network.send(owner, this.opts.contributions, { kind: 'brought', sentAt: now, groups: brought })
   }
 
-  private takeEarned (from: string, earned: EarnedTime): void {
-    if (this.isLate(from, earned.sentAt)) return
-    this.broughtAt.set(from, this.opts.clock.readTime())
-    if (earned.kind === 'lent') this.lentMs += earned.ms
-    else for (const [group, ms] of earned.groups) this.addTime(group, ms)
+  private applyContribution (from: string, contribution: TimeContribution): void {
+    if (this.isStale(from, contribution.sentAt)) return
+    this.receivedAt.set(from, this.opts.clock.readTime())
+    if (contribution.kind === 'lent') this.lentMs += contribution.ms
+    else for (const [group, ms] of contribution.groups) this.addTime(group, ms)
   }
 
-  /** Whether a message was held up on its way or came twice: what it brings would be spent beside what was earned since. */
-  private isLate (from: string, sentAt: number): boolean {
+  /** Whether a message was delayed or duplicated; its time must not be spent in addition to later time. */
+  private isStale (from: string, sentAt: number): boolean {
     const now = this.opts.clock.readTime()
-    const sent = this.opts.network.convertTime(from, sentAt)
-    const isSoonAfter = now - (this.broughtAt.get(from) ?? -Infinity) < BRING_MS / 2
-    return isSoonAfter || (sent !== undefined && now - sent > KEEP_MS)
+    const localSentAt = this.opts.network.convertTime(from, sentAt)
+    const isRepeated = now - (this.receivedAt.get(from) ?? -Infinity) < CONTRIBUTION_INTERVAL_MS / 2
+    return isRepeated || (localSentAt !== undefined && now - localSentAt > CONTRIBUTION_EXPIRY_MS)
   }
 
   private addTime (group: number, ms: number): void {
     for (const [name, rate] of this.opts.listRates()) {
-      if (findGroup(name) === group) this.findPool(name, rate).add(ms)
+      if (findGroup(name) === group) this.findPool(name, rate).addTime(ms)
     }
   }
 }
 
 function findGroup (name: string): number {
-  return hashText(name) % GROUPS
+  return hashText(name) % GROUP_COUNT
 }
--- a/routing/limits/src/TeamLimits.ts
+++ b/routing/limits/src/TeamLimits.ts
@@ -1,12 +1,12 @@
 import type { Team } from '@pulleystack/config.routes'
 import type { RateVerdict } from './RatePool.js'
 
-/** Keeps the quotas of teams, counted over all instances together; ways to do so differ in what they tell each other and when. */
+/** Enforces the quotas of teams across all instances. */
 export abstract class TeamLimits {
-  /** Takes a request's units out of its team's quota. Each request is counted once, however many attempts it takes. */
+  /** Takes a request's units out of its team's quota. Call once per request, regardless of the number of attempts. */
   abstract acquire (team: Team, units: number): Promise<RateVerdict>
-  /** Gives back what a request took that surely never ran. */
+  /** Returns the units of a request that did not run. */
   abstract giveBack (team: Team, units: number): void
-  /** Begins to tell the other instances what they need; goes on until the signal ends. */
+  /** Starts the exchange with the other instances; stops when the signal aborts. */
   abstract start (signal: AbortSignal): void
 }
--- a/routing/limits/test/LimitsBench.ts
+++ b/routing/limits/test/LimitsSimulation.ts
@@ -4,59 +4,58 @@
 import { CountedLimits, PooledLimits, type RateBounds, type TeamLimits } from '../src/index.js'
 
 export const BOUNDS: RateBounds = { windowMs: 8_000, over: 0.1, slack: 110_000 }
-/** An instance that was killed is back after so long. */
-const RESTART_MS = 500
-/** A link that carries nothing is found to be silent after so long. */
-const SUSPECT_MS = 2_400
+const RESTART_DELAY_MS = 500
+/** Time until the failure of a link is detected. */
+const SUSPICION_DELAY_MS = 2_400
 
-export const Ways = { POOLED: 'pooled', COUNTED: 'counted' } as const
-export type Way = typeof Ways[keyof typeof Ways]
+export const Strategies = { POOLED: 'pooled', COUNTED: 'counted' } as const
+export type Strategy = typeof Strategies[keyof typeof Strategies]
 
-/** Units that one request took. */
+/** Units taken by one request. */
 interface Use {
   at: number
   units: number
 }
 
-/** One life of one instance. */
-interface Life {
+/** One process run of an instance. */
+interface ProcessRun {
   limits: TeamLimits
   network: FakeNetwork
-  ended: AbortController
+  controller: AbortController
 }
 
-export interface LimitsBenchOptions {
-  /** Instances that serve, and ones that stand by. */
+export interface LimitsSimulationOptions {
+  /** Numbers of serving instances and of instances on standby. */
   serving: number
   standby: number
-  way?: Way
+  strategy?: Strategy
   seed?: number
 }
 
-/** Several instances that keep one team's quota, and whose lives end and begin. */
-export class LimitsBench {
+/** Simulates several instances that enforce one team's quota and are restarted or partitioned. */
+export class LimitsSimulation {
   readonly clock = new ManualClock()
   readonly hub: FakeHub
   readonly serving: string[]
   readonly uses: Use[] = []
-  refused = 0
-  /** Milliseconds from each request to its verdict. */
+  rejected = 0
+  /** Time from each request to its verdict. */
   readonly waitsMs: number[] = []
   private readonly names: string[]
-  private readonly lives = new Map<string, Life>()
-  /** When a direction between two instances was cut; the link is open for them until they suspect it. */
+  private readonly runs = new Map<string, ProcessRun>()
+  /** When the link of two instances was cut; they consider it open for another `SUSPICION_DELAY_MS`. */
   private readonly cutAt = new Map<string, number>()
   private table: RouteTable
   private team: Team
 
-  constructor (private readonly opts: LimitsBenchOptions, quota: TeamQuota) {
+  constructor (private readonly opts: LimitsSimulationOptions, quota: TeamQuota) {
     this.hub = new FakeHub({ clock: this.clock, random: new RandomSource(opts.seed ?? 5) })
     this.hub.maxDelayMs = 3
     this.serving = Array.from({ length: opts.serving }, (_, at) => `e${at}`)
     this.names = [...this.serving, ...Array.from({ length: opts.standby }, (_, at) => `s${at}`)]
     this.team = createTeam(quota)
     this.table = createTable(this.team)
-    for (const name of this.names) this.begin(name)
+    for (const name of this.names) this.start(name)
   }
 
   setQuota (quota: TeamQuota): void {
@@ -64,35 +63,35 @@
     this.table = createTable(this.team)
   }
 
-  /** A request comes to an instance; its verdict is noted when it is there. */
+  /** Sends a request to an instance and records its verdict. */
   request (at: number, units: number, onVerdict: (isGranted: boolean) => void = () => undefined): void {
-    const life = this.lives.get(this.serving[at % this.serving.length] as string)
-    if (!life) return
-    const askedAt = this.clock.readTime()
-    const note = (isGranted: boolean): void => {
+    const run = this.runs.get(this.serving[at % this.serving.length] as string)
+    if (!run) return
+    const requestedAt = this.clock.readTime()
+    const record = (isGranted: boolean): void => {
       if (isGranted) this.uses.push({ at: this.clock.readTime(), units })
-      else this.refused++
-      this.waitsMs.push(this.clock.readTime() - askedAt)
+      else this.rejected++
+      this.waitsMs.push(this.clock.readTime() - requestedAt)
       onVerdict(isGranted)
     }
-    void life.limits.acquire(this.team, units).then((verdict) => note(verdict.isGranted), () => note(false))
+    void run.limits.acquire(this.team, units).then((verdict) => record(verdict.isGranted), () => record(false))
   }
 
   giveBack (at: number, units: number): void {
-    this.lives.get(this.serving[at % this.serving.length] as string)?.limits.giveBack(this.team, units)
+    this.runs.get(this.serving[at % this.serving.length] as string)?.limits.giveBack(this.team, units)
   }
 
-  /** Ends a life at once; the next one begins a moment later. */
+  /** Kills an instance and restarts it after `RESTART_DELAY_MS`. */
   restart (name: string): void {
-    const life = this.lives.get(name)
-    if (!life) return
-    life.ended.abort()
-    this.lives.delete(name)
+    const run = this.runs.get(name)
+    if (!run) return
+    run.controller.abort()
+    this.runs.delete(name)
     this.hub.removeNode(name)
-    this.clock.setTimer(RESTART_MS, () => this.begin(name))
+    this.clock.setTimer(RESTART_DELAY_MS, () => this.start(name))
   }
 
-  /** Keeps back what two instances send each other, in silence, until all is healed. */
+  /** Silently holds back messages between two instances until `heal` is called. */
   hold (one: string, other: string): void {
     if (one === other) return
     this.hub.hold(one, other)
@@ -105,7 +104,7 @@
     this.hub.releaseAll()
   }
 
-  /** The most that a window holds beyond what the operator allows of a quota. */
+  /** Maximum number of units used in any window beyond a quota and its tolerance. */
   measureExcess ({ ratePerSecond, burst }: TeamQuota): number {
     const { windowMs, over, slack } = BOUNDS
     const allowed = (ratePerSecond * windowMs / 1000 + burst) * (1 + over) + slack
@@ -113,9 +112,9 @@
     return Math.max(0, ...used) - allowed
   }
 
-  private begin (instance: string): void {
+  private start (instance: string): void {
     const network = this.hub.createNode({ instance, incarnation: 1, address: '', peerAddress: '', region: '', dataHall: '', leaving: false })
-    const ended = new AbortController()
+    const controller = new AbortController()
     const { clock } = this
     const readTable = (): RouteTable => this.table
     const standing = {
@@ -124,20 +123,20 @@
       isServing: () => this.serving.includes(instance),
       listServing: () => network.listLinked().filter((other) => this.serving.includes(other) && !this.isSuspected(instance, other)),
     }
-    const limits = (this.opts.way ?? Ways.POOLED) === Ways.POOLED
+    const limits = (this.opts.strategy ?? Strategies.POOLED) === Strategies.POOLED
       ? new PooledLimits({ clock, network, standing, bounds: BOUNDS, readTable })
       : new CountedLimits({ clock, network, readTable })
-    limits.start(ended.signal)
-    this.lives.set(instance, { limits, network, ended })
+    limits.start(controller.signal)
+    this.runs.set(instance, { limits, network, controller })
   }
 
   private isSuspected (one: string, other: string): boolean {
     const since = this.cutAt.get([one, other].sort().join())
-    return since !== undefined && this.clock.readTime() - since > SUSPECT_MS
+    return since !== undefined && this.clock.readTime() - since > SUSPICION_DELAY_MS
   }
 }
 
-/** A quota in tokens whose burst is what its rate brings in a second. */
+/** A quota in tokens with a burst of one second. */
 export function createQuota (ratePerSecond: number): TeamQuota {
   return { unit: QuotaUnits.TOKENS, ratePerSecond, burst: ratePerSecond, plainTokens: 200 }
 }
--- a/routing/limits/test/PooledLimits.test.ts
+++ b/routing/limits/test/PooledLimits.test.ts
@@ -3,16 +3,16 @@
 import { ManualClock, RandomSource } from '@pulleystack/core.clock'
 import fc from 'fast-check'
 import { RatePool } from '../src/index.js'
-import { BOUNDS, LimitsBench, Ways, createQuota, type Way } from './LimitsBench.js'
-
-/** Tokens a second of a small team, and of a prompt of its requests. */
-const SMALL = 29_000
-const PROMPT = 9_400
-const LARGE = 400_000
-/** Time in which instances that begin together fill the pools. */
-const LEAD_MS = 3_000
+import { BOUNDS, LimitsSimulation, Strategies, createQuota, type Strategy } from './LimitsSimulation.js'
+
+/** Quota of a small team in tokens per second, and tokens per request. */
+const SMALL_RATE = 29_000
+const REQUEST_TOKENS = 9_400
+const LARGE_RATE = 400_000
+/** Time for the pools to fill after the start. */
+const WARM_UP_MS = 3_000
 const SERVING = 8
-const FLEET = { serving: SERVING, standby: 6 }
+const INSTANCES = { serving: SERVING, standby: 6 }
 const SEEDS = [1, 2, 3, 4]
 
 type Step =
@@ -23,14 +23,14 @@
   | { kind: 'heal' }
   | { kind: 'pass', ms: number }
 
-async function perform (bench: LimitsBench, step: Step): Promise<void> {
-  const name = (at: number): string => bench.serving[at % bench.serving.length] as string
-  if (step.kind === 'requests') for (let i = 0; i < step.count; i++) bench.request(step.at + i, step.units)
-  else if (step.kind === 'kill') for (let i = 0; i < step.count; i++) bench.restart(name(step.first + i))
-  else if (step.kind === 'hold') bench.hold(name(step.one), name(step.other))
-  else if (step.kind === 'isolate') for (const other of bench.serving) bench.hold(name(step.one), other)
-  else if (step.kind === 'heal') bench.heal()
-  else await bench.clock.advance(step.ms)
+async function perform (simulation: LimitsSimulation, step: Step): Promise<void> {
+  const name = (at: number): string => simulation.serving[at % simulation.serving.length] as string
+  if (step.kind === 'requests') for (let i = 0; i < step.count; i++) simulation.request(step.at + i, step.units)
+  else if (step.kind === 'kill') for (let i = 0; i < step.count; i++) simulation.restart(name(step.first + i))
+  else if (step.kind === 'hold') simulation.hold(name(step.one), name(step.other))
+  else if (step.kind === 'isolate') for (const other of simulation.serving) simulation.hold(name(step.one), other)
+  else if (step.kind === 'heal') simulation.heal()
+  else await simulation.clock.advance(step.ms)
 }
 
 const step: fc.Arbitrary<Step> = fc.oneof(
@@ -51,156 +51,156 @@
   onMs?: (ms: number) => void
 }
 
-/** A team that asks for `share` of its quota, in requests at even odds at all instances, for some seconds. */
-async function playTraffic (bench: LimitsBench, it: Traffic): Promise<void> {
+/** Sends requests for `share` of a team's quota, distributed evenly at random over all instances. */
+async function simulateTraffic (simulation: LimitsSimulation, it: Traffic): Promise<void> {
   const random = new RandomSource(it.seed)
   const perMs = it.rate * it.share / it.units / 1000
   for (let ms = 0; ms < it.seconds * 1000; ms += 5) {
     it.onMs?.(ms)
     for (let due = perMs * 5; due > 0; due -= 1) {
-      if (random.readFraction() < due) bench.request(Math.floor(random.readFraction() * SERVING), it.units)
+      if (random.readFraction() < due) simulation.request(Math.floor(random.readFraction() * SERVING), it.units)
     }
-    await bench.clock.advance(5)
+    await simulation.clock.advance(5)
   }
 }
 
-describe('the quota of a team over all instances', () => {
-  it('is kept in every window, whatever restarts, is cut off, or is held up on its way', async () => {
-    for (const rate of [SMALL, LARGE]) {
+describe('the quota of a team across all instances', () => {
+  it('is not exceeded in any window despite restarts, network partitions and delayed messages', async () => {
+    for (const rate of [SMALL_RATE, LARGE_RATE]) {
       await fc.assert(fc.asyncProperty(fc.array(step, { minLength: 10, maxLength: 60 }), async (steps) => {
-        const bench = new LimitsBench(FLEET, createQuota(rate))
-        await bench.clock.advance(LEAD_MS)
-        for (const each of steps) await perform(bench, each)
-        assert.ok(bench.measureExcess(createQuota(rate)) <= 0, `${bench.measureExcess(createQuota(rate))} too many`)
+        const simulation = new LimitsSimulation(INSTANCES, createQuota(rate))
+        await simulation.clock.advance(WARM_UP_MS)
+        for (const each of steps) await perform(simulation, each)
+        assert.ok(simulation.measureExcess(createQuota(rate)) <= 0, `${simulation.measureExcess(createQuota(rate))} too many`)
       }), { numRuns: 25, seed: 41 })
     }
   })
 
-  it('is kept over lost and doubled messages', async () => {
-    const bench = new LimitsBench(FLEET, createQuota(SMALL))
-    Object.assign(bench.hub, { lossShare: 0.1, repeatShare: 0.1, maxDelayMs: 150 })
-    await bench.clock.advance(LEAD_MS)
-    await playTraffic(bench, { rate: SMALL, units: PROMPT, share: 7, seconds: 20, seed: 1 })
-    assert.ok(bench.measureExcess(createQuota(SMALL)) <= 0)
-    assert.ok(bench.uses.length > 0)
+  it('is not exceeded with lost and duplicated messages', async () => {
+    const simulation = new LimitsSimulation(INSTANCES, createQuota(SMALL_RATE))
+    Object.assign(simulation.hub, { lossShare: 0.1, repeatShare: 0.1, maxDelayMs: 150 })
+    await simulation.clock.advance(WARM_UP_MS)
+    await simulateTraffic(simulation, { rate: SMALL_RATE, units: REQUEST_TOKENS, share: 7, seconds: 20, seed: 1 })
+    assert.ok(simulation.measureExcess(createQuota(SMALL_RATE)) <= 0)
+    assert.ok(simulation.uses.length > 0)
   })
 
-  it('refuses nobody below it in calm, wherever the team\'s requests come in', async () => {
+  it('rejects no request below the quota without failures', async () => {
     for (const seed of SEEDS) {
-      const bench = new LimitsBench({ ...FLEET, seed }, createQuota(LARGE))
-      await bench.clock.advance(LEAD_MS)
-      await playTraffic(bench, { rate: LARGE, units: PROMPT, share: 0.8, seconds: 10, seed })
-      assert.equal(bench.refused, 0)
+      const simulation = new LimitsSimulation({ ...INSTANCES, seed }, createQuota(LARGE_RATE))
+      await simulation.clock.advance(WARM_UP_MS)
+      await simulateTraffic(simulation, { rate: LARGE_RATE, units: REQUEST_TOKENS, share: 0.8, seconds: 10, seed })
+      assert.equal(simulation.rejected, 0)
     }
   })
 
-  it('lets a team use all of it while many times as much is asked for', async () => {
-    const bench = new LimitsBench(FLEET, createQuota(LARGE))
-    await bench.clock.advance(LEAD_MS)
-    await playTraffic(bench, { rate: LARGE, units: PROMPT, share: 7, seconds: 8, seed: 1 })
-    const used = bench.uses.reduce((sum, use) => sum + use.units, 0)
-    assert.ok(used >= LARGE * 8, `${used} of ${LARGE * 9}`)
+  it('can be used completely under overload', async () => {
+    const simulation = new LimitsSimulation(INSTANCES, createQuota(LARGE_RATE))
+    await simulation.clock.advance(WARM_UP_MS)
+    await simulateTraffic(simulation, { rate: LARGE_RATE, units: REQUEST_TOKENS, share: 7, seconds: 8, seed: 1 })
+    const used = simulation.uses.reduce((sum, use) => sum + use.units, 0)
+    assert.ok(used >= LARGE_RATE * 8, `${used} of ${LARGE_RATE * 9}`)
   })
 
-  it('lets a request in that is larger than the burst, when nothing else was asked for', async () => {
-    const bench = new LimitsBench(FLEET, createQuota(SMALL))
-    await bench.clock.advance(LEAD_MS)
-    bench.request(0, SMALL * 1.5)
-    await bench.clock.advance(100)
-    assert.equal(bench.uses.length, 1)
+  it('admits a request larger than the burst when the pool is full', async () => {
+    const simulation = new LimitsSimulation(INSTANCES, createQuota(SMALL_RATE))
+    await simulation.clock.advance(WARM_UP_MS)
+    simulation.request(0, SMALL_RATE * 1.5)
+    await simulation.clock.advance(100)
+    assert.equal(simulation.uses.length, 1)
   })
 
-  it('tells those who are refused times that lie apart, and none beyond what anybody waits', async () => {
+  it('gives rejected requests different retry delays, bounded by the time that requests wait', async () => {
     const clock = new ManualClock()
-    const pool = new RatePool({ clock, bounds: BOUNDS, countInstances: () => 1 }, createQuota(SMALL))
-    pool.add(1_000)
-    pool.take(SMALL)
-    const told = Array.from({ length: 100 }, () => pool.take(PROMPT)).flatMap((verdict) => verdict.isGranted ? [] : [verdict.retryAfterMs])
-    assert.ok((told[1] ?? 0) - (told[0] ?? 0) >= PROMPT / SMALL * 1000 * 0.9)
-    assert.ok(Math.max(...told) <= BOUNDS.windowMs * 1.5)
+    const pool = new RatePool({ clock, bounds: BOUNDS, countInstances: () => 1 }, createQuota(SMALL_RATE))
+    pool.addTime(1_000)
+    pool.take(SMALL_RATE)
+    const retryDelays = Array.from({ length: 100 }, () => pool.take(REQUEST_TOKENS)).flatMap((verdict) => verdict.isGranted ? [] : [verdict.retryAfterMs])
+    assert.ok((retryDelays[1] ?? 0) - (retryDelays[0] ?? 0) >= REQUEST_TOKENS / SMALL_RATE * 1000 * 0.9)
+    assert.ok(Math.max(...retryDelays) <= BOUNDS.windowMs * 1.5)
   })
 
-  it('binds as soon as it is lowered', async () => {
-    const bench = new LimitsBench(FLEET, createQuota(LARGE))
-    await bench.clock.advance(LEAD_MS)
-    bench.setQuota(createQuota(SMALL))
-    await playTraffic(bench, { rate: SMALL, units: PROMPT, share: 7, seconds: 12, seed: 1 })
-    assert.ok(bench.measureExcess(createQuota(SMALL)) <= 0)
+  it('applies as soon as it is lowered', async () => {
+    const simulation = new LimitsSimulation(INSTANCES, createQuota(LARGE_RATE))
+    await simulation.clock.advance(WARM_UP_MS)
+    simulation.setQuota(createQuota(SMALL_RATE))
+    await simulateTraffic(simulation, { rate: SMALL_RATE, units: REQUEST_TOKENS, share: 7, seconds: 12, seed: 1 })
+    assert.ok(simulation.measureExcess(createQuota(SMALL_RATE)) <= 0)
   })
 
-  it('counts nothing for what is given back', async () => {
-    const bench = new LimitsBench(FLEET, createQuota(SMALL))
-    await bench.clock.advance(LEAD_MS)
+  it('does not count units that were returned', async () => {
+    const simulation = new LimitsSimulation(INSTANCES, createQuota(SMALL_RATE))
+    await simulation.clock.advance(WARM_UP_MS)
     let granted = 0
     for (let at = 0; at < 40; at++) {
-      bench.request(at, PROMPT, (isGranted) => {
+      simulation.request(at, REQUEST_TOKENS, (isGranted) => {
         if (isGranted) granted++
-        if (isGranted) bench.giveBack(at, PROMPT)
+        if (isGranted) simulation.giveBack(at, REQUEST_TOKENS)
       })
-      await bench.clock.advance(20)
+      await simulation.clock.advance(20)
     }
     assert.equal(granted, 40)
   })
 
-  describe('when instances go', () => {
-    it('is at hand again within moments of its owner\'s death', async () => {
-      const bench = new LimitsBench(FLEET, createQuota(LARGE))
-      await bench.clock.advance(LEAD_MS)
+  describe('when instances fail', () => {
+    it('is available again soon after a failure of its owner', async () => {
+      const simulation = new LimitsSimulation(INSTANCES, createQuota(LARGE_RATE))
+      await simulation.clock.advance(WARM_UP_MS)
       // One after the other, so that the owner is among them.
-      for (const name of bench.serving) {
-        bench.restart(name)
-        await playTraffic(bench, { rate: LARGE, units: PROMPT, share: 0.5, seconds: 1, seed: 1 })
+      for (const name of simulation.serving) {
+        simulation.restart(name)
+        await simulateTraffic(simulation, { rate: LARGE_RATE, units: REQUEST_TOKENS, share: 0.5, seconds: 1, seed: 1 })
       }
-      const share = bench.refused / (bench.refused + bench.uses.length)
-      assert.ok(share < 0.05, `${share} refused`)
+      const share = simulation.rejected / (simulation.rejected + simulation.uses.length)
+      assert.ok(share < 0.05, `${share} rejected`)
     })
 
-    it('waits for nobody who does not run longer than a call', async () => {
-      const bench = new LimitsBench(FLEET, createQuota(LARGE))
-      await bench.clock.advance(LEAD_MS)
-      for (const one of bench.serving.slice(0, 4)) for (const other of bench.serving) bench.hold(one, other)
-      await playTraffic(bench, { rate: LARGE, units: PROMPT, share: 0.5, seconds: 4, seed: 1 })
-      assert.ok(Math.max(...bench.waitsMs) <= 1_000)
-      assert.ok(bench.measureExcess(createQuota(LARGE)) <= 0)
+    it('bounds the wait for unresponsive instances', async () => {
+      const simulation = new LimitsSimulation(INSTANCES, createQuota(LARGE_RATE))
+      await simulation.clock.advance(WARM_UP_MS)
+      for (const one of simulation.serving.slice(0, 4)) for (const other of simulation.serving) simulation.hold(one, other)
+      await simulateTraffic(simulation, { rate: LARGE_RATE, units: REQUEST_TOKENS, share: 0.5, seconds: 4, seed: 1 })
+      assert.ok(Math.max(...simulation.waitsMs) <= 1_000)
+      assert.ok(simulation.measureExcess(createQuota(LARGE_RATE)) <= 0)
     })
   })
 })
 
-/** What befalls the instances while a team asks for many times its quota, or for a little less than it. */
-const Troubles = {
-  CALM: { name: 'calm', share: 0.8, everyMs: Infinity, strike: () => undefined },
-  RESTARTS: { name: 'five of eight restarted every 1.5 s', share: 7, everyMs: 1_500, strike: (bench: LimitsBench) => bench.serving.slice(0, 5).forEach((name) => bench.restart(name)) },
-  CUT: { name: 'all cut off from each other', share: 7, everyMs: 20_000, strike: (bench: LimitsBench) => bench.serving.forEach((one) => bench.serving.forEach((other) => bench.hold(one, other))) },
+/** Faults to simulate, with the requested share of the quota. */
+const Faults = {
+  CALM: { name: 'no faults', share: 0.8, everyMs: Infinity, inject: () => undefined },
+  RESTARTS: { name: 'five of eight instances restarted every 1.5 s', share: 7, everyMs: 1_500, inject: (simulation: LimitsSimulation) => simulation.serving.slice(0, 5).forEach((name) => simulation.restart(name)) },
+  CUT: { name: 'all instances partitioned from each other', share: 7, everyMs: 20_000, inject: (simulation: LimitsSimulation) => simulation.serving.forEach((one) => simulation.serving.forEach((other) => simulation.hold(one, other))) },
 } as const
-type Trouble = typeof Troubles[keyof typeof Troubles]
+type Fault = typeof Faults[keyof typeof Faults]
 
 const SECONDS = 10
 
-// Rerun with PULLEYSTACK_FIGURES=1 for the figures of docs/design/shifted-work.md.
-describe('two ways to keep a quota', () => {
-  const play = async (way: Way, seed: number, { name, share, everyMs, strike }: Trouble): Promise<LimitsBench> => {
-    const bench = new LimitsBench({ ...FLEET, seed, way }, createQuota(LARGE))
-    await bench.clock.advance(LEAD_MS)
-    const before = bench.hub.messages
+// Set PULLEYSTACK_FIGURES=1 to print the figures of docs/design/shifted-work.md.
+describe('two strategies to enforce a quota', () => {
+  const simulate = async (strategy: Strategy, seed: number, { name, share, everyMs, inject }: Fault): Promise<LimitsSimulation> => {
+    const simulation = new LimitsSimulation({ ...INSTANCES, seed, strategy }, createQuota(LARGE_RATE))
+    await simulation.clock.advance(WARM_UP_MS)
+    const before = simulation.hub.messages
     const onMs = (ms: number): void => {
-      if (ms % everyMs === 0) strike(bench)
+      if (ms % everyMs === 0) inject(simulation)
     }
-    await playTraffic(bench, { rate: LARGE, units: PROMPT, share, seconds: SECONDS, seed, onMs })
+    await simulateTraffic(simulation, { rate: LARGE_RATE, units: REQUEST_TOKENS, share, seconds: SECONDS, seed, onMs })
     if (process.env['PULLEYSTACK_FIGURES'] !== undefined) {
-      const used = bench.uses.reduce((sum, use) => sum + use.units, 0) / LARGE / SECONDS
-      const excess = Math.round(bench.measureExcess(createQuota(LARGE)))
-      console.log(`${name}: ${way}, seed ${seed}: used ${used.toFixed(2)} of the rate, refused ${bench.refused}, over by ${excess}, ${Math.round((bench.hub.messages - before) / SECONDS)} messages a second`)
+      const used = simulation.uses.reduce((sum, use) => sum + use.units, 0) / LARGE_RATE / SECONDS
+      const excess = Math.round(simulation.measureExcess(createQuota(LARGE_RATE)))
+      console.log(`${name}: ${strategy}, seed ${seed}: used ${used.toFixed(2)} of the rate, rejected ${simulation.rejected}, over by ${excess}, ${Math.round((simulation.hub.messages - before) / SECONDS)} messages a second`)
     }
-    return bench
+    return simulation
   }
 
-  for (const trouble of Object.values(Troubles)) {
-    it(`differ in what they let through with ${trouble.name}`, async () => {
+  for (const fault of Object.values(Faults)) {
+    it(`differ in the requests that they admit with ${fault.name}`, async () => {
       for (const seed of SEEDS) {
-        const pooled = await play(Ways.POOLED, seed, trouble)
-        const counted = await play(Ways.COUNTED, seed, trouble)
-        assert.ok(pooled.measureExcess(createQuota(LARGE)) <= 0)
-        assert.equal(counted.measureExcess(createQuota(LARGE)) > 0, trouble === Troubles.CUT)
+        const pooled = await simulate(Strategies.POOLED, seed, fault)
+        const counted = await simulate(Strategies.COUNTED, seed, fault)
+        assert.ok(pooled.measureExcess(createQuota(LARGE_RATE)) <= 0)
+        assert.equal(counted.measureExcess(createQuota(LARGE_RATE)) > 0, fault === Faults.CUT)
       }
     })
   }
