--- a/routing/permits/test/ServerPermits.test.ts
+++ b/routing/permits/test/ServerPermits.test.ts
@@ -2,15 +2,15 @@
 import { describe, it } from 'node:test'
 import { RandomSource } from '@pulleystack/core.clock'
 import fc from 'fast-check'
-import { CONTACT_MS, PermitsBench, Ways, type Way } from './PermitsBench.js'
+import { RECONNECT_GRACE_MS, PermitsSimulation, Strategies, type Strategy } from './PermitsBench.js'
 
-const FLEET = { serving: 8, standby: 6 }
+const INSTANCES = { serving: 8, standby: 6 }
 const LIMITS = [0, 0.5, 1, 4, 20]
-/** Time in which instances that begin together fill the pools. */
-const LEAD_MS = 3_000
-const SECONDS = 20
-/** What callers are to get of a limit at the least, with all instances in touch. */
-const LEAST_SHARE = 0.9
+/** Time for the pools to fill after the start. */
+const WARM_UP_MS = 3_000
+const DURATION_S = 20
+/** Minimum share of a limit that callers can use while all instances are connected. */
+const MIN_USED_SHARE = 0.9
 
 type Step =
   | { kind: 'requests', count: number, at: number }
@@ -20,14 +20,14 @@
   | { kind: 'heal' }
   | { kind: 'pass', ms: number }
 
-async function perform (bench: PermitsBench, step: Step): Promise<void> {
-  const name = (at: number): string => bench.serving[at % bench.serving.length] as string
-  if (step.kind === 'requests') for (let i = 0; i < step.count; i++) bench.request(step.at + i)
-  else if (step.kind === 'kill') for (let i = 0; i < step.count; i++) bench.restart(name(step.first + i))
-  else if (step.kind === 'hold') bench.hold(name(step.one), name(step.other))
-  else if (step.kind === 'isolate') for (const other of bench.serving) bench.hold(name(step.one), other)
-  else if (step.kind === 'heal') bench.heal()
-  else await bench.clock.advance(step.ms)
+async function perform (simulation: PermitsSimulation, step: Step): Promise<void> {
+  const name = (at: number): string => simulation.serving[at % simulation.serving.length] as string
+  if (step.kind === 'requests') for (let i = 0; i < step.count; i++) simulation.request(step.at + i)
+  else if (step.kind === 'kill') for (let i = 0; i < step.count; i++) simulation.restart(name(step.first + i))
+  else if (step.kind === 'hold') simulation.hold(name(step.one), name(step.other))
+  else if (step.kind === 'isolate') for (const other of simulation.serving) simulation.hold(name(step.one), other)
+  else if (step.kind === 'heal') simulation.heal()
+  else await simulation.clock.advance(step.ms)
 }
 
 const step: fc.Arbitrary<Step> = fc.oneof(
@@ -39,106 +39,106 @@
   fc.record({ kind: fc.constant('pass' as const), ms: fc.nat(1_200) }),
 )
 
-/** Asks for `share` of what the limit allows for some seconds, at even odds at the first instances. */
-async function playTraffic (bench: PermitsBench, it: { perSecond: number, seconds: number, instances: number }): Promise<void> {
+/** Sends requests at a rate, distributed evenly at random over the first `instances` instances. */
+async function simulateTraffic (simulation: PermitsSimulation, it: { perSecond: number, seconds: number, instances: number }): Promise<void> {
   const random = new RandomSource(7)
   for (let ms = 0; ms < it.seconds * 1_000; ms += 5) {
-    if (random.readFraction() < it.perSecond / 200) bench.request(Math.floor(random.readFraction() * it.instances))
-    await bench.clock.advance(5)
+    if (random.readFraction() < it.perSecond / 200) simulation.request(Math.floor(random.readFraction() * it.instances))
+    await simulation.clock.advance(5)
   }
 }
 
-describe('the rights to send to a server that names a limit', () => {
-  it('are no more than it takes in any window, whatever restarts, is cut off, or is held up on its way', async () => {
+describe('permits for a server with a rate limit', () => {
+  it('never exceed the limit in any window despite restarts, network partitions and delayed messages', async () => {
     for (const limit of LIMITS) {
       await fc.assert(fc.asyncProperty(fc.array(step, { minLength: 10, maxLength: 60 }), async (steps) => {
-        const bench = new PermitsBench(FLEET, limit)
-        await bench.clock.advance(LEAD_MS)
-        for (const each of steps) await perform(bench, each)
-        assert.ok(bench.measureExcess(limit) <= 0, `${bench.measureExcess(limit)} too many of ${limit} a second`)
+        const simulation = new PermitsSimulation(INSTANCES, limit)
+        await simulation.clock.advance(WARM_UP_MS)
+        for (const each of steps) await perform(simulation, each)
+        assert.ok(simulation.measureExcess(limit) <= 0, `${simulation.measureExcess(limit)} too many of ${limit} a second`)
       }), { numRuns: 25, seed: 54 })
     }
   })
 
-  it('are no more over lost and doubled messages, and used all the same', async () => {
-    const bench = new PermitsBench(FLEET, 4)
-    Object.assign(bench.hub, { lossShare: 0.1, repeatShare: 0.1, maxDelayMs: 150 })
-    await bench.clock.advance(LEAD_MS)
-    await playTraffic(bench, { perSecond: 40, seconds: SECONDS, instances: 8 })
-    assert.ok(bench.measureExcess(4) <= 0)
-    assert.ok(bench.sends.length >= SECONDS * 4 * 0.5, `${bench.sends.length}`)
+  it('stay within the limit and remain available with lost and duplicated messages', async () => {
+    const simulation = new PermitsSimulation(INSTANCES, 4)
+    Object.assign(simulation.hub, { lossShare: 0.1, repeatShare: 0.1, maxDelayMs: 150 })
+    await simulation.clock.advance(WARM_UP_MS)
+    await simulateTraffic(simulation, { perSecond: 40, seconds: DURATION_S, instances: 8 })
+    assert.ok(simulation.measureExcess(4) <= 0)
+    assert.ok(simulation.sends.length >= DURATION_S * 4 * 0.5, `${simulation.sends.length}`)
   })
 
   for (const limit of LIMITS.filter((it) => it > 0)) {
     for (const instances of [8, 1]) {
-      it(`leave little of ${limit} a second unused where requests come to ${instances} of eight instances`, async () => {
-        const bench = new PermitsBench(FLEET, limit)
-        await bench.clock.advance(LEAD_MS)
-        await playTraffic(bench, { perSecond: 10 * limit, seconds: SECONDS, instances })
-        const share = bench.sends.length / SECONDS / limit
-        assert.ok(share >= LEAST_SHARE, `${share} of the limit`)
-        assert.ok(bench.measureExcess(limit) <= 0)
+      it(`use most of a limit of ${limit} per second with requests at ${instances} of eight instances`, async () => {
+        const simulation = new PermitsSimulation(INSTANCES, limit)
+        await simulation.clock.advance(WARM_UP_MS)
+        await simulateTraffic(simulation, { perSecond: 10 * limit, seconds: DURATION_S, instances })
+        const share = simulation.sends.length / DURATION_S / limit
+        assert.ok(share >= MIN_USED_SHARE, `${share} of the limit`)
+        assert.ok(simulation.measureExcess(limit) <= 0)
       })
     }
   }
 
-  it('go on at the part of those that are left when half of the instances have gone', async () => {
-    const bench = new PermitsBench(FLEET, 4)
-    await bench.clock.advance(LEAD_MS)
-    for (const name of bench.serving.slice(4)) bench.remove(name)
-    await playTraffic(bench, { perSecond: 40, seconds: SECONDS, instances: 4 })
-    const left = (FLEET.serving - 4 + FLEET.standby) / (FLEET.serving + FLEET.standby)
-    const share = bench.sends.length / SECONDS / 4
-    assert.ok(share >= LEAST_SHARE * left, `${share} of the limit, with ${left} of the instances`)
+  it('continue at the share of the remaining instances when half of the serving instances are removed', async () => {
+    const simulation = new PermitsSimulation(INSTANCES, 4)
+    await simulation.clock.advance(WARM_UP_MS)
+    for (const name of simulation.serving.slice(4)) simulation.remove(name)
+    await simulateTraffic(simulation, { perSecond: 40, seconds: DURATION_S, instances: 4 })
+    const left = (INSTANCES.serving - 4 + INSTANCES.standby) / (INSTANCES.serving + INSTANCES.standby)
+    const share = simulation.sends.length / DURATION_S / 4
+    assert.ok(share >= MIN_USED_SHARE * left, `${share} of the limit, with ${left} of the instances`)
   })
 
-  it('follow a limit that falls and rises, and are not needed once it is taken back', async () => {
-    const bench = new PermitsBench(FLEET, 20)
-    await bench.clock.advance(LEAD_MS)
-    await playTraffic(bench, { perSecond: 100, seconds: 4, instances: 8 })
-    bench.name(1)
-    const loweredAt = bench.clock.readTime()
-    await playTraffic(bench, { perSecond: 100, seconds: 8, instances: 8 })
-    assert.ok(bench.measureExcess(1, loweredAt + CONTACT_MS) <= 0)
-    bench.name(undefined)
-    await bench.clock.advance(100)
-    const before = bench.sends.length
-    await playTraffic(bench, { perSecond: 100, seconds: 1, instances: 8 })
-    assert.ok(bench.sends.length - before > 80)
+  it('follow a lowered limit and are not needed once it is lifted', async () => {
+    const simulation = new PermitsSimulation(INSTANCES, 20)
+    await simulation.clock.advance(WARM_UP_MS)
+    await simulateTraffic(simulation, { perSecond: 100, seconds: 4, instances: 8 })
+    simulation.setLimit(1)
+    const loweredAt = simulation.clock.readTime()
+    await simulateTraffic(simulation, { perSecond: 100, seconds: 8, instances: 8 })
+    assert.ok(simulation.measureExcess(1, loweredAt + RECONNECT_GRACE_MS) <= 0)
+    simulation.setLimit(undefined)
+    await simulation.clock.advance(100)
+    const before = simulation.sends.length
+    await simulateTraffic(simulation, { perSecond: 100, seconds: 1, instances: 8 })
+    assert.ok(simulation.sends.length - before > 80)
   })
 })
 
-/** What befalls the instances while ten times as much is asked for as the limit takes. */
-const Troubles = {
-  EVEN: { name: 'requests at all instances', instances: 8, everyMs: Infinity, strike: () => undefined },
-  LOPSIDED: { name: 'requests at one instance', instances: 1, everyMs: Infinity, strike: () => undefined },
-  RESTARTS: { name: 'four of eight restarted every 1.5 s', instances: 8, everyMs: 1_500, strike: (bench: PermitsBench) => bench.serving.slice(0, 4).forEach((name) => bench.restart(name)) },
-  LINKS: { name: 'three of eight links of one held every 5 s', instances: 8, everyMs: 5_000, strike: (bench: PermitsBench) => [1, 2, 3].forEach((at) => bench.hold('e0', `e${at}`)) },
+/** Faults to simulate under ten times the load that the limit allows. */
+const Faults = {
+  EVEN: { name: 'requests at all instances', instances: 8, everyMs: Infinity, inject: () => undefined },
+  LOPSIDED: { name: 'requests at one instance only', instances: 1, everyMs: Infinity, inject: () => undefined },
+  RESTARTS: { name: 'four of eight restarted every 1.5 s', instances: 8, everyMs: 1_500, inject: (simulation: PermitsSimulation) => simulation.serving.slice(0, 4).forEach((name) => simulation.restart(name)) },
+  LINKS: { name: 'three of eight links of one held every 5 s', instances: 8, everyMs: 5_000, inject: (simulation: PermitsSimulation) => [1, 2, 3].forEach((at) => simulation.hold('e0', `e${at}`)) },
 } as const
-type Trouble = typeof Troubles[keyof typeof Troubles]
+type Fault = typeof Faults[keyof typeof Faults]
 
-// Rerun with PULLEYSTACK_FIGURES=1 for the figures of docs/design/limits-and-retries.md.
-describe('three ways to keep a server\'s limit', () => {
-  const play = async (way: Way, limit: number, { name, instances, everyMs, strike }: Trouble): Promise<{ share: number, excess: number }> => {
-    const bench = new PermitsBench({ ...FLEET, way }, limit)
-    await bench.clock.advance(LEAD_MS)
-    const before = bench.hub.messages
-    for (let ms = 0; ms < SECONDS * 1_000; ms += 500) {
-      if (ms > 0 && ms % everyMs === 0) strike(bench)
-      await playTraffic(bench, { perSecond: 10 * limit, seconds: 0.5, instances })
+// Set PULLEYSTACK_FIGURES=1 to print the figures of docs/design/limits-and-retries.md.
+describe('three strategies to enforce a server\'s limit', () => {
+  const simulate = async (strategy: Strategy, limit: number, { name, instances, everyMs, inject }: Fault): Promise<{ share: number, excess: number }> => {
+    const simulation = new PermitsSimulation({ ...INSTANCES, strategy }, limit)
+    await simulation.clock.advance(WARM_UP_MS)
+    const before = simulation.hub.messages
+    for (let ms = 0; ms < DURATION_S * 1_000; ms += 500) {
+      if (ms > 0 && ms % everyMs === 0) inject(simulation)
+      await simulateTraffic(simulation, { perSecond: 10 * limit, seconds: 0.5, instances })
     }
-    const share = bench.sends.length / SECONDS / limit
-    const excess = bench.measureExcess(limit)
-    const messages = Math.round((bench.hub.messages - before) / SECONDS)
-    if (process.env['PULLEYSTACK_FIGURES'] !== undefined) console.log(`${way}, limit ${limit}, ${name}: ${share.toFixed(2)} of the limit, over by ${excess}, ${messages} messages a second`)
+    const share = simulation.sends.length / DURATION_S / limit
+    const excess = simulation.measureExcess(limit)
+    const messages = Math.round((simulation.hub.messages - before) / DURATION_S)
+    if (process.env['PULLEYSTACK_FIGURES'] !== undefined) console.log(`${strategy}, limit ${limit}, ${name}: ${share.toFixed(2)} of the limit, over by ${excess}, ${messages} messages a second`)
     return { share, excess }
   }
 
-  for (const trouble of Object.values(Troubles)) {
-    it(`differ with ${trouble.name}; the one in use keeps it`, async () => {
+  for (const fault of Object.values(Faults)) {
+    it(`differ with ${fault.name}; the pooled strategy stays within the limit`, async () => {
       for (const limit of [1, 4, 20]) {
-        assert.ok((await play(Ways.POOLED, limit, trouble)).excess <= 0)
-        for (const way of [Ways.OWNED, Ways.PARTS]) await play(way, limit, trouble)
+        assert.ok((await simulate(Strategies.POOLED, limit, fault)).excess <= 0)
+        for (const way of [Strategies.SINGLE_OWNER, Strategies.SHARES]) await simulate(way, limit, fault)
       }
     })
   }
