--- a/config/feed/src/StoreContact.ts
+++ b/config/feed/src/StoreAvailability.ts
@@ -4,34 +4,34 @@
 
 const MIN_BACKOFF_MS = 100
 
-export interface StoreContactOptions {
+export interface StoreAvailabilityOptions {
   clock: Clock
   log: DecisionLog
   prefix: string
-  /** The store's own number of the copy's revision. */
+  /** The replica's revision as the store numbers it within its epoch. */
   readRevision: () => number | undefined
 }
 
-/** Whether the store answers an instance or those that it hears from, and how long failed calls are to pause. */
-export class StoreContact {
+/** Tracks whether the store responds to this instance or its peers, and the backoff after failed calls. */
+export class StoreAvailability {
   isLost = false
-  private regainedAt = -Infinity
+  private recoveredAt = -Infinity
   private lostAt = -Infinity
   private backoffMs = MIN_BACKOFF_MS
 
-  constructor (private readonly opts: StoreContactOptions) {}
+  constructor (private readonly opts: StoreAvailabilityOptions) {}
 
-  /** Milliseconds since the store came back; 0 while it is away. */
-  get settledMs (): number {
-    return this.isLost ? 0 : this.opts.clock.readTime() - this.regainedAt
+  /** Milliseconds since the store became available; 0 during an outage. */
+  get sinceRecoveryMs (): number {
+    return this.isLost ? 0 : this.opts.clock.readTime() - this.recoveredAt
   }
 
-  /** Milliseconds since the store went away; 0 while it answers. */
-  get lostMs (): number {
+  /** Milliseconds since the outage began; 0 while the store is available. */
+  get outageMs (): number {
     return this.isLost ? this.opts.clock.readTime() - this.lostAt : 0
   }
 
-  noteLost (cause: PulleystackError): void {
+  recordFailure (cause: PulleystackError): void {
     if (this.isLost) return
     this.isLost = true
     this.lostAt = this.opts.clock.readTime()
@@ -40,26 +40,26 @@
     log.record(DecisionKinds.DEPENDENCY_LOST, { dependency: 'store', prefix, revision: readRevision(), code, reason: message })
   }
 
-  /** A peer had an answer of the store at some time; one from before it went away does not say that it is back. */
-  noteHeard (knownAt: number): void {
-    if (knownAt > this.lostAt) this.noteAnswered()
+  /** Records that the store responded to a peer at the given time; ignored if that was before the outage. */
+  recordPeerAnswer (knownAt: number): void {
+    if (knownAt > this.lostAt) this.recordAnswer()
   }
 
-  noteAnswered (): void {
+  recordAnswer (): void {
     this.backoffMs = MIN_BACKOFF_MS
     if (!this.isLost) return
     this.isLost = false
-    this.noteReturned()
+    this.recordRecovery()
     const { prefix, log, readRevision } = this.opts
     log.record(DecisionKinds.DEPENDENCY_REGAINED, { dependency: 'store', prefix, revision: readRevision() })
   }
 
-  /** The store is back from an older copy, whether or not it was missed. */
-  noteReturned (): void {
-    this.regainedAt = this.opts.clock.readTime()
+  /** Records that the store became available again or was restored from an older snapshot. */
+  recordRecovery (): void {
+    this.recoveredAt = this.opts.clock.readTime()
   }
 
-  /** Milliseconds before the next call, twice as long after each up to the longest. */
+  /** Returns the milliseconds to wait before the next call, and doubles them up to a maximum. */
   takeBackoff (maxMs: number): number {
     const { backoffMs } = this
     this.backoffMs = Math.min(maxMs, backoffMs * 2)
--- a/config/feed/src/StoreFeed.ts
+++ b/config/feed/src/StoreFeed.ts
@@ -2,311 +2,299 @@
 import { PulleystackError } from '@pulleystack/core.errors'
 import { listRanked } from '@pulleystack/core.hashing'
 import { measureSend } from '@pulleystack/membership.peers'
-import { answerSnapshots } from './answerSnapshots.js'
-import { findBudget, type ByteBudget } from './ByteBudget.js'
-import { NEWS, NOTICE, SNAPSHOT, type FeedNews, type FeedSnapshot, type FeedSpan } from './channels.js'
-import { CopyStates, type CopyState } from './CopyWatch.js'
-import { FeedCopy, keepNewest, measureValue } from './FeedCopy.js'
-import { describeRestored, isOfLaterEpoch, recordRefused, recordReset, recordRestored } from './restoredCopies.js'
-import { StoreContact } from './StoreContact.js'
+import { serveSnapshots } from './serveSnapshots.js'
+import { findOrCreateBudget, type ByteBudget } from './ByteBudget.js'
+import { UPDATE, NOTICE, SNAPSHOT, type FeedUpdate, type FeedSnapshot, type RevisionSpan } from './channels.js'
+import { ReplicaStates, type ReplicaState } from './CopyWatch.js'
+import { FeedReplica, keepNewest, measureValue } from './FeedReplica.js'
+import { buildRestoreUpdate, isOfLaterEpoch, recordRejected, recordReset, recordRestored } from './replicaRecords.js'
+import { StoreAvailability } from './StoreAvailability.js'
 import type { StoreFeedOptions } from './StoreFeedOptions.js'
-import { WatcherChoice } from './WatcherChoice.js'
+import { WatcherElection } from './WatcherElection.js'
 
-/** A watcher's call waits this long at most, so that the others hear from it at least so often. */
-const WATCHER_WAIT_MS = 700
-/** A watcher's call asks to be answered before copies are this old, so that nobody gets to QUIET_MS on the way of the news. */
-const NEWS_DUE_MS = 900
-/** Milliseconds; shorter waits would only add calls. */
+/** Also the longest interval between two updates to the other instances. */
+const MAX_WATCHER_WAIT_MS = 700
+/** A watcher's call returns before replicas reach this age, so that an update arrives before SELF_WATCH_AGE_MS. */
+const UPDATE_DUE_AGE_MS = 900
 const MIN_WAIT_MS = 50
-/** Whoever has a copy this old watches for itself; with the call it stays well inside what bounds allow. */
-const QUIET_MS = 1_100
-/** With QUIET_MS before it, a copy is 1.4 s old at most when such a call is answered, inside the 2 s of the bound for changes. */
-const OWN_WAIT_MS = 300
-/**
- * After changes the next call waits, so that those of many servers come together: three calls a second at the most, and a change is known 0.3 s
- * later than it could be, about a seventh of the tightest bound for changes (2 s).
- */
-const SETTLE_MS = 300
-/** Longest pause of the instance that watches, on whose news the others rely. */
-const MAX_BACKOFF_MS = 400
-/** Calls a second that the others make together while they all have lost the store; each of them would hear from the watcher when it is back. */
-const IDLE_RETRIES_PER_SECOND = 10
-/** A peer that answers at all does so in milliseconds; this many of them fit into the bound for changes. */
-const SNAPSHOT_MS = 400
-/** An instance that is told of changes asks for them this often at most: 2.5 reads a second whatever changes, a fifth of the bound for changes. */
-const FETCH_PAUSE_MS = 400
-/** The store answers in milliseconds; who waits longer for it asks a peer as well. */
-const STORE_PATIENCE_MS = 250
-/** Peers that are asked at one time for what the store does not give. */
-const PEERS_ASKED = 3
-/**
- * A copy that old is listed anew: the history since may hold many versions of one object, and more than its link bears within a call. Calls that
- * fail for no more than a slow answer or two do not come to this.
- */
-const FAR_BEHIND_MS = 3_000
-/** A listing up to this size is never worse than many versions of few objects: 26 ms of a link of 10 Mbit/s. */
+/** Age of the replica at which an instance other than the watcher calls the store itself. */
+const SELF_WATCH_AGE_MS = 1_100
+/** Together with SELF_WATCH_AGE_MS below the 2 s within which a change must take effect. */
+const SELF_WATCH_WAIT_MS = 300
+/** Delay after a response with changes, to batch the changes that follow. */
+const COALESCE_MS = 300
+const MAX_WATCHER_BACKOFF_MS = 400
+/** Combined rate of calls from all other instances during an outage; the watcher notifies them when the store is back. */
+const FOLLOWER_RETRIES_PER_SECOND = 10
+const SNAPSHOT_TIMEOUT_MS = 400
+/** Limits how often an instance fetches changes that were announced to it. */
+const MIN_FETCH_INTERVAL_MS = 400
+/** How long the store may take before peers are called as well. */
+const PEER_FALLBACK_DELAY_MS = 250
+const MAX_FALLBACK_PEERS = 3
+/** A replica this old is listed again: its missing history may be too large for the link. A few slow responses don't reach this age. */
+const RELIST_AGE_MS = 3_000
+/** A listing up to this size is always cheaper than many versions of few objects; about 26 ms on a 10 Mbit/s link. */
 const SMALL_LISTING_BYTES = 32_000
 
-/** So many listings in a row that are older than the copy, though it stood before they were asked for, show that the copy is not of this store. */
-const REFUSALS_BEFORE_RESET = 3
+/** Consecutive listings older than the replica that show that the replica's state never was in this store. */
+const REJECTIONS_BEFORE_RESET = 3
 
-/** One instance's copy of everything under one prefix. Its revision, an epoch's and a number, never goes back. */
+/** One instance's replica of all objects under one prefix. Its version, of epoch and revision, never decreases except by a reset. */
 export class StoreFeed {
-  private readonly copy = new FeedCopy()
+  private readonly replica = new FeedReplica()
   private readonly budget: ByteBudget
-  private readonly watcher: WatcherChoice
-  private readonly contact: StoreContact
-  /** Time of the own clock at which the store surely held nothing that the copy lacks. */
+  private readonly election: WatcherElection
+  private readonly availability: StoreAvailability
+  /** Monotonic time in milliseconds at which the replica was known to match the store. */
   private freshAt = -Infinity
-  /** Newest revision that peers told of, who told it, and the size of what was left out since the copy's revision. */
-  private told = { revision: 0, by: '', bytes: 0 }
+  /** Newest revision that a peer announced, that peer, and the bytes of the changes that were not sent since the replica's revision. */
+  private announced = { revision: 0, peer: '', bytes: 0 }
   private fetchedAt = -Infinity
-  private asking: Promise<unknown> | undefined
-  /** The store's history since the copy is gone, so that only a listing, or a peer's news of it, brings the copy up to date. */
-  private mustList = false
-  private refusals = 0
-  private isAsking = false
+  private pendingFetch: Promise<unknown> | undefined
+  /** The store compacted the history after the replica's revision; only a listing or a peer can bring the replica up to date. */
+  private mustRelist = false
+  private rejections = 0
+  private isCallingStore = false
   private wake: () => void = () => undefined
 
   constructor (private readonly opts: StoreFeedOptions) {
-    this.budget = findBudget(opts.clock, opts.network)
-    this.watcher = new WatcherChoice(opts)
+    this.budget = findOrCreateBudget(opts.clock, opts.network)
+    this.election = new WatcherElection(opts)
     const { clock, log, prefix } = opts
-    this.contact = new StoreContact({ clock, log, prefix, readRevision: () => this.readRevision() })
+    this.availability = new StoreAvailability({ clock, log, prefix, readRevision: () => this.readRevision() })
   }
 
-  /** Milliseconds since the copy was known to be what the store holds, counted from the store's answer, whoever got it. */
+  /** Milliseconds since the replica was last known to match the store; infinite if it never was. */
   get ageMs (): number {
     return this.opts.clock.readTime() - this.freshAt
   }
 
-  /** Milliseconds since the store came back; 0 while it is away. */
+  /** Milliseconds since the store became available; 0 during an outage. */
   get settledMs (): number {
-    return this.contact.settledMs
+    return this.availability.sinceRecoveryMs
   }
 
-  /** Milliseconds since the store went away for this instance and those that it hears from; 0 while it answers. */
+  /** Milliseconds since the store became unavailable to this instance and its peers; 0 while it is available. */
   get lostMs (): number {
-    return this.contact.lostMs
+    return this.availability.outageMs
   }
 
   get prefix (): string {
     return this.opts.prefix
   }
 
-  /** Newest revision that this instance has had, as the store counts in its present epoch; 0 before the first listing. */
+  /** Highest revision that the replica reached, as the store numbers it within its epoch; 0 before the first listing. */
   get newestRevision (): number {
-    return readRevision(this.copy.newest)
+    return readRevision(this.replica.newestVersion)
   }
 
-  /** What the feed does about its copy now. */
-  get state (): CopyState {
-    if (this.contact.isLost) return CopyStates.STORE_LOST
-    if (this.isAsking) return CopyStates.ASKING
-    return this.isBehind ? CopyStates.GAP : CopyStates.LISTENING
+  get state (): ReplicaState {
+    if (this.availability.isLost) return ReplicaStates.STORE_LOST
+    if (this.isCallingStore) return ReplicaStates.ASKING
+    return this.isBehind ? ReplicaStates.GAP : ReplicaStates.LISTENING
   }
 
-  /** Whether this instance watches the store for the others. */
+  /** Whether this instance watches the store on behalf of the others. */
   isWatcher (): boolean {
-    return this.watcher.isWatcher()
+    return this.election.isWatcher()
   }
 
-  /** Follows the prefix until the signal ends. */
+  /** Follows the prefix until the signal aborts. */
   start (signal: AbortSignal): void {
     const { clock, network, prefix } = this.opts
     const subscriptions = [
-      network.receive(NEWS).subscribe(({ from, body }) => {
-        if (body.prefix === prefix) this.takeNews(from, body)
+      network.receive(UPDATE).subscribe(({ from, body }) => {
+        if (body.prefix === prefix) this.handleUpdate(from, body)
       }),
       network.receive(NOTICE).subscribe(({ from, body }) => {
-        if (body.prefix === prefix) this.takeNotice(from, body, body.bytes)
+        if (body.prefix === prefix) this.handleNotice(from, body, body.bytes)
       }),
     ]
-    this.watcher.start(signal)
-    answerSnapshots(clock, network, { prefix, copy: this.copy, readFreshAt: () => this.freshAt })
+    this.election.start(signal)
+    serveSnapshots(clock, network, { prefix, replica: this.replica, readFreshAt: () => this.freshAt })
     signal.addEventListener('abort', () => subscriptions.forEach((it) => it.unsubscribe()), { once: true })
     void this.run(signal)
   }
 
   private async run (signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      if (this.copy.revision === undefined || this.mustList) await this.begin(signal)
-      else if (this.isWatcher()) await this.keepWatch(signal)
-      else if (this.isBehind) await this.followNotice(signal)
-      else if (this.ageMs >= QUIET_MS) await this.keepWatch(signal)
-      else await this.rest(signal)
+      if (this.replica.revision === undefined || this.mustRelist) await this.loadReplica(signal)
+      else if (this.isWatcher()) await this.watchOrRelist(signal)
+      else if (this.isBehind) await this.pullAnnounced(signal)
+      else if (this.ageMs >= SELF_WATCH_AGE_MS) await this.watchOrRelist(signal)
+      else await this.waitUntilStale(signal)
     }
   }
 
-  /** Peers told of changes that this instance does not have. */
+  /** Whether a peer announced changes that the replica lacks. */
   private get isBehind (): boolean {
-    return this.told.revision > (this.copy.revision ?? 0)
+    return this.announced.revision > (this.replica.revision ?? 0)
   }
 
-  /** Waits until this instance has to ask for itself. */
-  private async rest (signal: AbortSignal): Promise<void> {
-    const woken = new AbortController()
-    this.wake = () => woken.abort()
-    await this.opts.clock.wait(Math.max(1, QUIET_MS - this.ageMs), AbortSignal.any([signal, woken.signal]))
+  /** Waits until this instance has to call the store itself. */
+  private async waitUntilStale (signal: AbortSignal): Promise<void> {
+    const waking = new AbortController()
+    this.wake = () => waking.abort()
+    await this.opts.clock.wait(Math.max(1, SELF_WATCH_AGE_MS - this.ageMs), AbortSignal.any([signal, waking.signal]))
   }
 
-  /** Gets a first copy; with the store away, what a peer has is better than nothing. */
-  private async begin (signal: AbortSignal): Promise<void> {
-    const failure = await this.list(signal)
+  /** Loads the replica with a listing, or from a peer if the store is unavailable. */
+  private async loadReplica (signal: AbortSignal): Promise<void> {
+    const failure = await this.listObjects(signal)
     if (!failure || signal.aborted) return
-    await this.askPeers(this.opts.network.listLinked())
-    if (this.copy.revision === undefined || this.mustList) await this.backOff(signal, failure)
+    await this.pullFromPeers(this.opts.network.listLinked())
+    if (this.replica.revision === undefined || this.mustRelist) await this.backOff(signal, failure)
   }
 
-  private async keepWatch (signal: AbortSignal): Promise<void> {
-    const failure = this.ageMs >= FAR_BEHIND_MS ? await this.list(signal) : await this.watch(signal)
+  private async watchOrRelist (signal: AbortSignal): Promise<void> {
+    const failure = this.ageMs >= RELIST_AGE_MS ? await this.listObjects(signal) : await this.watch(signal)
     if (failure) await this.backOff(signal, failure)
   }
 
-  /** Asks the store for what peers told of, and a peer when the store does not give it soon. */
-  private async followNotice (signal: AbortSignal): Promise<void> {
+  /** Gets announced changes from the store, and from peers if the store takes too long. */
+  private async pullAnnounced (signal: AbortSignal): Promise<void> {
     const { clock } = this.opts
-    const pauseMs = this.fetchedAt + FETCH_PAUSE_MS - clock.readTime()
+    const pauseMs = this.fetchedAt + MIN_FETCH_INTERVAL_MS - clock.readTime()
     if (pauseMs > 0) {
       await clock.wait(pauseMs, signal)
       return
     }
     this.fetchedAt = clock.readTime()
-    this.asking ??= this.askStore(signal).finally(() => {
-      this.asking = undefined
+    this.pendingFetch ??= this.pullFromStore(signal).finally(() => {
+      this.pendingFetch = undefined
     })
-    await Promise.race([this.asking, clock.wait(STORE_PATIENCE_MS, signal)])
-    if (this.isBehind && !signal.aborted) await this.askPeers(this.choosePeers())
+    await Promise.race([this.pendingFetch, clock.wait(PEER_FALLBACK_DELAY_MS, signal)])
+    if (this.isBehind && !signal.aborted) await this.pullFromPeers(this.chooseFallbackPeers())
   }
 
-  private async askStore (signal: AbortSignal): Promise<void> {
-    const mayList = this.copy.bytes <= Math.max(SMALL_LISTING_BYTES, this.told.bytes)
-    const failure = mayList ? await this.list(signal) : await this.watch(signal)
-    if (failure) this.contact.noteLost(failure)
+  private async pullFromStore (signal: AbortSignal): Promise<void> {
+    const mayList = this.replica.bytes <= Math.max(SMALL_LISTING_BYTES, this.announced.bytes)
+    const failure = mayList ? await this.listObjects(signal) : await this.watch(signal)
+    if (failure) this.availability.recordFailure(failure)
   }
 
-  private async list (signal: AbortSignal): Promise<PulleystackError | undefined> {
+  private async listObjects (signal: AbortSignal): Promise<PulleystackError | undefined> {
     const { clock, store, prefix } = this.opts
-    const { told } = this
-    const held = this.copy.newest
-    const askedAt = clock.readTime()
-    const listing = await this.showAsking(store.listObjects(prefix))
+    const { announced } = this
+    const newestBefore = this.replica.newestVersion
+    const calledAt = clock.readTime()
+    const listing = await this.runStoreCall(store.listObjects(prefix))
     if (signal.aborted) return undefined
     if (listing.isErr()) return listing.error
-    this.watcher.noteAnswered()
-    this.contact.noteAnswered()
-    const news = describeRestored(prefix, this.copy, listing.value, askedAt)
-    const isTaken = this.replace({ revision: listing.value.version, objects: listing.value.objects, knownAt: askedAt })
-    this.forgetTold(told)
-    if (isTaken && news && this.isWatcher()) this.tellNews(news)
-    this.refusals = isTaken || this.copy.newest !== held ? 0 : this.refusals + 1
-    if (this.refusals === 0) return undefined
-    if (this.refusals < REFUSALS_BEFORE_RESET) return new PulleystackError('STORE_ANSWER_INVALID', 'The listing is older than what is held')
-    this.reset(listing.value, askedAt)
+    this.election.recordAnswer()
+    this.availability.recordAnswer()
+    const update = buildRestoreUpdate(prefix, this.replica, listing.value, calledAt)
+    const isAccepted = this.replace({ revision: listing.value.version, objects: listing.value.objects, knownAt: calledAt })
+    this.clearAnnounced(announced)
+    if (isAccepted && update && this.isWatcher()) this.sendUpdate(update)
+    this.rejections = isAccepted || this.replica.newestVersion !== newestBefore ? 0 : this.rejections + 1
+    if (this.rejections === 0) return undefined
+    if (this.rejections < REJECTIONS_BEFORE_RESET) return new PulleystackError('STORE_ANSWER_INVALID', 'The listing is older than the replica')
+    this.reset(listing.value, calledAt)
     return undefined
   }
 
-  /** Takes what the store itself says for the truth: a peer told of what it never had. */
+  /** Replaces the replica with an older listing, after a peer sent changes that were never in the store. */
   private reset ({ version, objects }: StoreListing, knownAt: number): void {
-    recordReset(this.opts, { version, held: this.copy.newest })
-    this.copy.reset(version, objects)
-    this.refusals = 0
-    this.mustList = false
-    this.told = { revision: 0, by: '', bytes: 0 }
+    recordReset(this.opts, { version, held: this.replica.newestVersion })
+    this.replica.reset(version, objects)
+    this.rejections = 0
+    this.mustRelist = false
+    this.announced = { revision: 0, peer: '', bytes: 0 }
     this.freshAt = knownAt
-    this.contact.noteReturned()
+    this.availability.recordRecovery()
     this.opts.onListing(objects, { version, isRestored: true })
   }
 
   private async watch (signal: AbortSignal): Promise<PulleystackError | undefined> {
     const { clock, store, prefix } = this.opts
-    const { told } = this
-    const from = this.copy.revision as number
+    const { announced } = this
+    const from = this.replica.revision as number
     const isWatcher = this.isWatcher()
-    const askedAt = clock.readTime()
-    const waitMs = isWatcher ? this.computeWait() : OWN_WAIT_MS
-    const batch = await this.showAsking(store.waitForChanges(prefix, from, waitMs, signal))
+    const calledAt = clock.readTime()
+    const waitMs = isWatcher ? this.computeWait() : SELF_WATCH_WAIT_MS
+    const batch = await this.runStoreCall(store.waitForChanges(prefix, from, waitMs, signal))
     if (signal.aborted) return undefined
     if (batch.isErr()) {
       if (batch.error.code !== 'STORE_COMPACTED') return batch.error
-      this.mustList = true
+      this.mustRelist = true
       return undefined
     }
-    this.watcher.noteAnswered()
-    this.contact.noteAnswered()
+    this.election.recordAnswer()
+    this.availability.recordAnswer()
     const changes = keepNewest(batch.value.changes)
-    // The store holds an answer without changes back for the time asked, so that it is as new as the end of that time.
-    const isWhole = changes.length === 0 && clock.readTime() - askedAt >= waitMs
-    const news = { prefix, from, to: Math.max(from, batch.value.version), knownAt: isWhole ? askedAt + waitMs : askedAt, changes }
-    this.apply(news, news.knownAt)
-    this.forgetTold(told)
-    if (isWatcher) this.tellNews(news)
-    if (changes.length > 0) await clock.wait(SETTLE_MS, signal)
+    // The store delays an empty response for the whole wait, so it is current as of the end of the wait.
+    const isFullWait = changes.length === 0 && clock.readTime() - calledAt >= waitMs
+    const update = { prefix, from, to: Math.max(from, batch.value.version), knownAt: isFullWait ? calledAt + waitMs : calledAt, changes }
+    this.apply(update, update.knownAt)
+    this.clearAnnounced(announced)
+    if (isWatcher) this.sendUpdate(update)
+    if (changes.length > 0) await clock.wait(COALESCE_MS, signal)
     return undefined
   }
 
   private computeWait (): number {
-    const dueMs = Math.round(this.freshAt + NEWS_DUE_MS - this.opts.clock.readTime())
-    return Math.min(WATCHER_WAIT_MS, Math.max(MIN_WAIT_MS, dueMs))
+    const dueMs = Math.round(this.freshAt + UPDATE_DUE_AGE_MS - this.opts.clock.readTime())
+    return Math.min(MAX_WATCHER_WAIT_MS, Math.max(MIN_WAIT_MS, dueMs))
   }
 
-  /** Sends changes to all while the own link bears it, else only that there were some. */
-  private tellNews (news: FeedNews): void {
+  /** Sends changes to all instances, or only a notice if the byte budget doesn't allow it. */
+  private sendUpdate (update: FeedUpdate): void {
     const { network } = this.opts
-    const bytes = measureSend(NEWS, news) * network.countReached()
-    if (news.changes.length === 0 || this.budget.tryTake(bytes)) {
-      network.broadcast(NEWS, news)
+    const bytes = measureSend(UPDATE, update) * network.countReached()
+    if (update.changes.length === 0 || this.budget.trySpend(bytes)) {
+      network.broadcast(UPDATE, update)
       return
     }
-    const { changes, ...span } = news
+    const { changes, ...span } = update
     network.broadcast(NOTICE, { ...span, bytes: changes.reduce((sum, change) => sum + measureValue(change.value), 0) })
   }
 
-  private takeNews (from: string, news: FeedNews): void {
-    const { revision } = this.copy
-    // Who knows less than this instance has no news for it.
-    if (revision === undefined || news.to < revision) return
-    // What another epoch changes is told for one revision; beyond it this copy may hold what the store has lost.
-    if (news.from > revision || (news.from < revision && isOfLaterEpoch(news.to, revision))) {
-      this.takeNotice(from, news, news.changes.reduce((sum, change) => sum + measureValue(change.value), 0))
+  private handleUpdate (from: string, update: FeedUpdate): void {
+    const { revision } = this.replica
+    if (revision === undefined || update.to < revision) return
+    // An update into a later epoch applies to its `from` revision only; a later replica may have objects that the store lost.
+    if (update.from > revision || (update.from < revision && isOfLaterEpoch(update.to, revision))) {
+      this.handleNotice(from, update, update.changes.reduce((sum, change) => sum + measureValue(change.value), 0))
       return
     }
-    const knownAt = this.convertTime(from, news.knownAt)
-    this.contact.noteHeard(knownAt)
-    this.apply(news, knownAt)
+    const knownAt = this.convertTime(from, update.knownAt)
+    this.availability.recordPeerAnswer(knownAt)
+    this.apply(update, knownAt)
   }
 
-  private takeNotice (from: string, span: FeedSpan, bytes: number): void {
-    const { revision } = this.copy
+  private handleNotice (from: string, span: RevisionSpan, bytes: number): void {
+    const { revision } = this.replica
     if (revision === undefined || span.to < revision) return
     const knownAt = this.convertTime(from, span.knownAt)
-    this.contact.noteHeard(knownAt)
+    this.availability.recordPeerAnswer(knownAt)
     if (span.to === revision) {
       this.freshAt = Math.max(this.freshAt, knownAt)
       return
     }
-    if (span.to > this.told.revision) this.told = { revision: span.to, by: from, bytes: (this.isBehind ? this.told.bytes : 0) + bytes }
+    if (span.to > this.announced.revision) this.announced = { revision: span.to, peer: from, bytes: (this.isBehind ? this.announced.bytes : 0) + bytes }
     this.wake()
   }
 
-  /** What is told while the store is asked may be newer than its answer; what was told before is not. */
-  private forgetTold (told: { revision: number }): void {
-    if (this.told.revision === told.revision) this.told = { revision: 0, by: '', bytes: 0 }
+  /** Clears an announcement made before a call to the store; one made during the call may be newer than the response. */
+  private clearAnnounced (announced: { revision: number }): void {
+    if (this.announced.revision === announced.revision) this.announced = { revision: 0, peer: '', bytes: 0 }
   }
 
-  /** The one that told of the changes, and others in case it has no time. */
-  private choosePeers (): string[] {
+  /** The peer that announced the changes, and others as a fallback. */
+  private chooseFallbackPeers (): string[] {
     const { network, instance } = this.opts
-    const others = listRanked(instance, network.listLinked().filter((peer) => peer !== this.told.by), (peer) => peer)
-    return [this.told.by, ...others].slice(0, PEERS_ASKED)
+    const others = listRanked(instance, network.listLinked().filter((peer) => peer !== this.announced.peer), (peer) => peer)
+    return [this.announced.peer, ...others].slice(0, MAX_FALLBACK_PEERS)
   }
 
-  /** Takes the copy of the first of some peers that has a newer one. */
-  private async askPeers (peers: readonly string[]): Promise<void> {
+  /** Accepts the snapshot of the first peer that has a newer one. */
+  private async pullFromPeers (peers: readonly string[]): Promise<void> {
     const { network, prefix } = this.opts
-    const after = this.copy.newest
+    const after = this.replica.newestVersion
     for (const peer of peers) {
-      const answer = await network.call(peer, SNAPSHOT, { prefix, after: this.copy.revision ?? after - 1 }, SNAPSHOT_MS)
+      const answer = await network.call(peer, SNAPSHOT, { prefix, after: this.replica.revision ?? after - 1 }, SNAPSHOT_TIMEOUT_MS)
       if (answer.isErr() || !answer.value) continue
       const { revision, objects, knownAt } = answer.value
       this.replace({ revision, objects, knownAt: this.convertTime(peer, knownAt) })
@@ -315,73 +303,73 @@
   }
 
   /**
-   * The own time at which it was at least what a peer says; without an end when that is not known. A message of a peer's former life has a time of
-   * another clock, which may seem to lie ahead; a peer of another version may say none.
+   * Converts a time of a peer's clock into a lower bound in local time, -Infinity if unknown. The result is capped at the current time because a
+   * message from the peer's previous process run may appear to be in the future; a peer of another version may send no time.
    */
-  private convertTime (peer: string, theirTime: number): number {
-    const time = this.opts.network.convertTime(peer, theirTime) ?? -Infinity
+  private convertTime (peer: string, peerTime: number): number {
+    const time = this.opts.network.convertTime(peer, peerTime) ?? -Infinity
     return Number.isNaN(time) ? -Infinity : Math.min(time, this.opts.clock.readTime())
   }
 
-  private apply (news: FeedNews, knownAt: number): void {
-    const former = this.copy.newest
-    const applied = this.copy.apply(news.changes, news.to)
+  private apply (update: FeedUpdate, knownAt: number): void {
+    const previous = this.replica.newestVersion
+    const applied = this.replica.apply(update.changes, update.to)
     this.freshAt = Math.max(this.freshAt, knownAt)
-    this.mustList = false
-    if (isOfLaterEpoch(news.to, former)) this.noteRestored(former, applied.length)
+    this.mustRelist = false
+    if (isOfLaterEpoch(update.to, previous)) this.handleRestore(previous, applied.length)
     else if (applied.length > 0) this.opts.onChanges(applied)
   }
 
-  /** False when what is held is newer. */
+  /** Returns false if the replica is newer. */
   private replace (snapshot: FeedSnapshot): boolean {
     const { revision, objects, knownAt } = snapshot
-    const former = this.copy.newest
-    const differences = former > 0 && isOfLaterEpoch(revision, former) ? this.copy.listDifferences(revision, objects) : undefined
-    if (!this.copy.replace(revision, objects)) {
-      recordRefused(this.opts, { version: revision, held: this.copy.newest })
+    const previous = this.replica.newestVersion
+    const differences = previous > 0 && isOfLaterEpoch(revision, previous) ? this.replica.listDifferences(revision, objects) : undefined
+    if (!this.replica.replace(revision, objects)) {
+      recordRejected(this.opts, { version: revision, held: this.replica.newestVersion })
       return false
     }
     this.freshAt = Math.max(this.freshAt, knownAt)
-    this.mustList = false
-    if (differences) this.noteRestored(former, differences.length)
+    this.mustRelist = false
+    if (differences) this.handleRestore(previous, differences.length)
     else this.opts.onListing(objects, { version: revision, isRestored: false })
     return true
   }
 
-  /** The copy is of a later epoch now; what came of the older one may be written again only after a while. */
-  private noteRestored (former: number, changed: number): void {
-    const { newest } = this.copy
-    this.contact.noteReturned()
-    recordRestored(this.opts, { version: newest, former, changed })
-    this.opts.onListing(this.copy.list(), { version: newest, isRestored: true })
+  /** Treats a restored store as just recovered, and passes all objects on as a listing. */
+  private handleRestore (former: number, changed: number): void {
+    const { newestVersion } = this.replica
+    this.availability.recordRecovery()
+    recordRestored(this.opts, { version: newestVersion, former, changed })
+    this.opts.onListing(this.replica.list(), { version: newestVersion, isRestored: true })
   }
 
-  private async showAsking<T> (call: Promise<T>): Promise<T> {
-    this.isAsking = true
+  private async runStoreCall<T> (call: Promise<T>): Promise<T> {
+    this.isCallingStore = true
     try {
       return await call
     } finally {
-      this.isAsking = false
+      this.isCallingStore = false
     }
   }
 
   private async backOff (signal: AbortSignal, cause: PulleystackError): Promise<void> {
-    this.watcher.noteFailed()
-    this.contact.noteLost(cause)
-    const pauseMs = this.contact.takeBackoff(this.computeMaxBackoff())
+    this.election.announceFailure()
+    this.availability.recordFailure(cause)
+    const pauseMs = this.availability.takeBackoff(this.computeMaxBackoff())
     await this.opts.clock.wait(pauseMs * (0.5 + this.opts.random.readFraction()), signal)
   }
 
-  /** Whoever has a copy and does not watch hears from the watcher, so that its own calls may be few. */
+  /** Instances that have a replica and don't watch share a retry rate, since the watcher notifies them. */
   private computeMaxBackoff (): number {
     const { listCandidates } = this.opts
-    if (this.copy.revision === undefined || this.isWatcher()) return MAX_BACKOFF_MS
-    return Math.max(MAX_BACKOFF_MS, listCandidates().length * 1_000 / IDLE_RETRIES_PER_SECOND)
+    if (this.replica.revision === undefined || this.isWatcher()) return MAX_WATCHER_BACKOFF_MS
+    return Math.max(MAX_WATCHER_BACKOFF_MS, listCandidates().length * 1_000 / FOLLOWER_RETRIES_PER_SECOND)
   }
 
-  /** The store's own number of the copy's revision, for the log. */
+  /** The replica's revision as the store numbers it within its epoch. */
   private readRevision (): number | undefined {
-    const { revision } = this.copy
+    const { revision } = this.replica
     return revision === undefined ? undefined : readRevision(revision)
   }
 }
--- a/config/feed/src/StoreFeedOptions.ts
+++ b/config/feed/src/StoreFeedOptions.ts
@@ -3,14 +3,13 @@
 import type { PeerNetwork } from '@pulleystack/membership.peers'
 import type { DecisionLog } from '@pulleystack/timeline.decisions'
 
-/** What is known of a listing. */
+/** Properties of a listing. */
 export interface ListingFacts {
   version: number
-  /** The store came back from an older copy: some of what the listing shows, or lacks, may be older than what was known. */
+  /** The store was restored from an older snapshot: the listing may be older than earlier listings and changes. */
   isRestored: boolean
 }
 
-/** What a feed works with, and where it brings what the store says. */
 export interface StoreFeedOptions {
   clock: Clock
   random: RandomSource
@@ -19,10 +18,10 @@
   log: DecisionLog
   prefix: string
   instance: string
-  /** Live instances that could watch, this one among them. */
+  /** Live instances that may watch, including this one. */
   listCandidates: () => readonly string[]
-  /** All objects, at first, after a gap, when that costs less than the changes, and when the store came back from an older copy. */
+  /** Called with all objects: initially, after a gap, if a listing is smaller than the changes, and after the store was restored. */
   onListing: (objects: readonly StoredObject[], facts: ListingFacts) => void
-  /** Changes, in order; of several of one object in one answer only the newest. */
+  /** Called with changes in ascending order of version; of several changes of one object in a response, only the newest is included. */
   onChanges: (changes: readonly StoreChange[]) => void
 }
--- a/config/feed/src/channels.ts
+++ b/config/feed/src/channels.ts
@@ -1,46 +1,46 @@
 import type { StoreChange, StoredObject } from '@pulleystack/backend.interfaces'
 import { defineChannel } from '@pulleystack/membership.peers'
 
-/** Which revisions a message is about: after `from`, up to `to`. */
-export interface FeedSpan {
+/** Range of revisions that a message covers: after `from`, up to `to`. */
+export interface RevisionSpan {
   prefix: string
   from: number
   to: number
-  /** Time of the sender's monotone clock at which the store surely held nothing that a copy at `to` lacks. */
+  /** Time of the sender's monotonic clock, in milliseconds, at which a replica at `to` was known to match the store. */
   knownAt: number
 }
 
-/** The newest change of each key in a span; none when nothing changed. */
-export interface FeedNews extends FeedSpan {
+/** The newest change of each key in a range of revisions; empty if nothing changed. */
+export interface FeedUpdate extends RevisionSpan {
   changes: StoreChange[]
 }
 
-/** That there were changes; who lacks them asks for them, since they are too large to be sent to all. */
-export interface FeedNotice extends FeedSpan {
-  /** Size of the changes left out. */
+/** Announces changes that are too large to send to all instances; the receivers fetch them. */
+export interface FeedNotice extends RevisionSpan {
+  /** Size of the changes that were not sent. */
   bytes: number
 }
 
-/** Everything under a prefix as of one revision. */
+/** All objects under a prefix at one revision. */
 export interface FeedSnapshot {
   revision: number
   objects: StoredObject[]
-  /** As in FeedSpan. */
+  /** As in RevisionSpan. */
   knownAt: number
 }
 
-/** Asks for everything under a prefix, if that is newer than a revision. */
+/** Requests all objects under a prefix if the receiver has a revision after `after`. */
 export interface SnapshotRequest {
   prefix: string
   after: number
 }
 
-/** The store does not answer the sender, who should watch this prefix. */
+/** Announces that the store does not respond to the sender, the watcher of this prefix. */
 export interface WatchLost {
   prefix: string
 }
 
-export const NEWS = defineChannel<FeedNews>('feed.news')
+export const UPDATE = defineChannel<FeedUpdate>('feed.news')
 export const NOTICE = defineChannel<FeedNotice>('feed.notice')
 export const WATCH_LOST = defineChannel<WatchLost>('feed.watch-lost')
 export const SNAPSHOT = defineChannel<SnapshotRequest, FeedSnapshot | undefined>('feed.snapshot')
--- a/config/feed/test/CopyWatch.test.ts
+++ b/config/feed/test/CopyWatch.test.ts
@@ -12,8 +12,7 @@
 const PREFIX = 'things/'
 const KEY = `${PREFIX}x`
 
-/** Keeps what is logged. */
-class KeptLog extends DecisionLog {
+class RecordingLog extends DecisionLog {
   readonly lines: { kind: DecisionKind, facts: unknown }[] = []
 
   record<Kind extends DecisionKind> (kind: Kind, facts: DecisionFacts[Kind]): void {
@@ -25,22 +24,22 @@
   }
 }
 
-/** A store whose calls fail or get no answer. */
+/** A store whose calls fail or never complete. */
 class FaultyStore extends MemoryObjectStore {
   state: 'good' | 'silent' | 'failing' = 'good'
 
-  override async waitForChanges (...asked: Parameters<ObjectStore['waitForChanges']>): ReturnType<ObjectStore['waitForChanges']> {
-    if (this.state === 'good') return super.waitForChanges(...asked)
+  override async waitForChanges (...args: Parameters<ObjectStore['waitForChanges']>): ReturnType<ObjectStore['waitForChanges']> {
+    if (this.state === 'good') return super.waitForChanges(...args)
     if (this.state === 'silent') await new Promise(() => undefined)
     return new Err(new PulleystackError('STORE_UNAVAILABLE', 'no answer in time'))
   }
 }
 
-describe('the watch over a copy', () => {
+describe('CopyWatch', () => {
   let clock: ManualClock
   let store: FaultyStore
-  let log: KeptLog
-  let ended: AbortController
+  let log: RecordingLog
+  let abort: AbortController
   let candidates: string[]
 
   const start = (): void => {
@@ -58,47 +57,47 @@
       onListing: () => undefined,
       onChanges: () => undefined,
     })
-    feed.start(ended.signal)
-    new CopyWatch({ clock, log, feed, prefix: PREFIX }).start(ended.signal)
+    feed.start(abort.signal)
+    new CopyWatch({ clock, log, feed, prefix: PREFIX }).start(abort.signal)
   }
 
   beforeEach(async () => {
     clock = new ManualClock()
     store = new FaultyStore({ clock })
-    log = new KeptLog()
-    ended = new AbortController()
+    log = new RecordingLog()
+    abort = new AbortController()
     candidates = ['n1']
     await store.writeObject(KEY, 1, 0)
     start()
     await clock.advance(5_000)
   })
 
-  afterEach(() => ended.abort())
+  afterEach(() => abort.abort())
 
-  it('logs nothing of a copy that stays current', () => {
+  it('logs nothing while the replica stays current', () => {
     assert.deepEqual(log.list(DecisionKinds.COPY_STALE), [])
     assert.deepEqual(log.list(DecisionKinds.COPY_CURRENT), [])
   })
 
-  describe('while the store fails', () => {
+  describe('while calls to the store fail', () => {
     beforeEach(async () => {
       store.state = 'failing'
       await clock.advance(4_000)
     })
 
-    it('logs once that the copy is stale, before the bound of 2 s is over', () => {
+    it('logs once that the replica is stale, before it is 2 s old', () => {
       const [stale, ...more] = log.list(DecisionKinds.COPY_STALE)
       assert.equal(more.length, 0)
       assert.ok(stale?.ageMs !== undefined && stale.ageMs > 1_500 && stale.ageMs <= 2_000, `${stale?.ageMs}`)
       assert.deepEqual({ ...stale, ageMs: 0 }, { prefix: PREFIX, ageMs: 0, revision: 1, isWatcher: true, cause: 'store-lost' })
     })
 
-    it('tells how the call failed', () => {
+    it('logs the error of the failed call', () => {
       const [lost] = log.list(DecisionKinds.DEPENDENCY_LOST)
       assert.deepEqual(lost, { dependency: 'store', prefix: PREFIX, revision: 1, code: 'STORE_UNAVAILABLE', reason: 'no answer in time' })
     })
 
-    it('logs that it is current once the store answers', async () => {
+    it('logs that the replica is current once the store responds', async () => {
       store.state = 'good'
       await clock.advance(2_000)
       const [current, ...more] = log.list(DecisionKinds.COPY_CURRENT)
@@ -108,16 +107,16 @@
     })
   })
 
-  describe('while a call to the store gets no answer and nothing else arrives', () => {
-    it('logs that the copy is stale and that the instance asks', async () => {
+  describe('while a call to the store does not complete and nothing else arrives', () => {
+    it('logs that the replica is stale while a call is in progress', async () => {
       store.state = 'silent'
       await clock.advance(4_000)
       assert.deepEqual(log.list(DecisionKinds.COPY_STALE).map((stale) => stale.cause), ['asking'])
     })
   })
 
-  describe('over who watches for the others', () => {
-    it('logs when this instance begins and when it stops', async () => {
+  describe('when the watcher changes', () => {
+    it('logs when this instance starts and stops watching', async () => {
       candidates = ['n2']
       await clock.advance(1_000)
       assert.deepEqual(log.list(DecisionKinds.WATCHER_CHANGED), [{ prefix: PREFIX, isWatcher: true }, { prefix: PREFIX, isWatcher: false }])
--- a/config/feed/test/FeedBench.ts
+++ b/config/feed/test/FeedCluster.ts
@@ -8,17 +8,17 @@
 import { StoreFeed } from '../src/index.js'
 
 export const PREFIX = 'things/'
-/** Bounds of the platform are two seconds and more. */
-export const IN_FORCE_MS = 1_900
-/** What a call puts on the uplink: a request's head. */
+/** Below the 2 s within which a change must take effect. */
+export const MAX_PROPAGATION_MS = 1_900
+/** Bytes that a call sends on the uplink. */
 const REQUEST_BYTES = 300
 
-/** The clock of one process, which can be stopped; what was due meanwhile runs when it goes on. */
+/** The clock of one process; while it is frozen, timers are delayed until it resumes. */
 class ProcessClock extends Clock {
   private isFrozen = false
-  private due: (() => void)[] = []
+  private delayedTasks: (() => void)[] = []
 
-  /** `offsetMs`: how far it is ahead of the common clock. */
+  /** `offsetMs` is how far it is ahead of the shared clock. */
   constructor (private readonly clock: ManualClock, private readonly offsetMs: number) {
     super()
   }
@@ -34,7 +34,7 @@
   setTimer (ms: number, task: () => void): CancelTimer {
     let isCancelled = false
     const run = (): void => {
-      if (this.isFrozen) this.due.push(run)
+      if (this.isFrozen) this.delayedTasks.push(run)
       else if (!isCancelled) task()
     }
     const cancel = this.clock.setTimer(ms, run)
@@ -48,33 +48,33 @@
     this.isFrozen = true
   }
 
-  thaw (): void {
+  resume (): void {
     this.isFrozen = false
-    for (const run of this.due.splice(0)) run()
+    for (const run of this.delayedTasks.splice(0)) run()
   }
 }
 
 type PathState = 'good' | 'silent' | 'failing'
 
-/** One instance's way to the common store, on its uplink: it counts calls and can be cut or fail. */
-class Path extends MemoryObjectStore {
+/** One instance's connection to the shared store over its uplink; counts calls and can time out or fail. */
+class StorePath extends MemoryObjectStore {
   calls = 0
   state: PathState = 'good'
 
-  constructor (private readonly way: { name: string, clock: Clock, shared: MemoryObjectStore, hub: FakeHub }) {
-    super({ clock: way.clock })
+  constructor (private readonly connection: { name: string, clock: Clock, shared: MemoryObjectStore, hub: FakeHub }) {
+    super({ clock: connection.clock })
   }
 
   override async listObjects (prefix: string): ReturnType<ObjectStore['listObjects']> {
-    return await this.check(1_500) ?? this.way.shared.listObjects(prefix)
+    return await this.check(1_500) ?? this.connection.shared.listObjects(prefix)
   }
 
   override async waitForChanges (prefix: string, after: number, waitMs: number, signal?: AbortSignal): Promise<Result<ChangeBatch, PulleystackError>> {
-    return await this.check(waitMs + 700) ?? this.way.shared.waitForChanges(prefix, after, waitMs, signal)
+    return await this.check(waitMs + 700) ?? this.connection.shared.waitForChanges(prefix, after, waitMs, signal)
   }
 
   private async check (timeoutMs: number): Promise<Err<never, PulleystackError> | undefined> {
-    const { name, clock, hub } = this.way
+    const { name, clock, hub } = this.connection
     this.calls++
     const sentMs = hub.putOnUplink(name, REQUEST_BYTES)
     if (sentMs > 0) await clock.wait(Math.min(sentMs, timeoutMs))
@@ -84,20 +84,19 @@
   }
 }
 
-/** One instance under test. */
 export interface Node {
   name: string
   clock: ProcessClock
-  path: Path
+  path: StorePath
   feed: StoreFeed
   values: Map<string, unknown>
-  /** Revisions in the order in which changes were taken. */
-  taken: number[]
-  ended: AbortController
+  /** Versions in the order in which changes were applied. */
+  appliedVersions: number[]
+  abort: AbortController
 }
 
-/** Several instances with one feed each, over one store and one fake network. */
-export class FeedBench {
+/** Several instances with one feed each that share one store and one fake network. */
+export class FeedCluster {
   readonly clock = new ManualClock()
   readonly shared = new MemoryObjectStore({ clock: this.clock })
   readonly hub: FakeHub
@@ -108,16 +107,16 @@
     this.hub = new FakeHub({ clock: this.clock, random: new RandomSource(seed) })
   }
 
-  /** `offsetMs` is how far the instance's monotone clock is ahead of the common one; without `isClockKnown` peers don't know it. */
+  /** `offsetMs` is how far the instance's monotonic clock is ahead of the shared one; without `isClockKnown` peers don't know the offset. */
   start (name: string, { offsetMs = 0, isClockKnown = true, state = 'good' as PathState } = {}): Node {
     const { shared, hub } = this
     const clock = new ProcessClock(this.clock, offsetMs)
     hub.timeOffsets.set(name, isClockKnown ? offsetMs : undefined)
-    const path = new Path({ name, clock, shared, hub })
+    const path = new StorePath({ name, clock, shared, hub })
     path.state = state
     const network = hub.createNode({ instance: name, incarnation: 1, address: '', peerAddress: '', region: '', dataHall: '', leaving: false })
     const values = new Map<string, unknown>()
-    const taken: number[] = []
+    const appliedVersions: number[] = []
     const feed = new StoreFeed({
       clock,
       random: new RandomSource(7),
@@ -130,28 +129,28 @@
       onListing: (objects) => replaceValues(values, objects),
       onChanges: (changes) => {
         for (const change of changes) {
-          taken.push(change.version)
+          appliedVersions.push(change.version)
           if (change.value === undefined) values.delete(change.key)
           else values.set(change.key, change.value)
         }
       },
     })
-    const node: Node = { name, clock, path, feed, values, taken, ended: new AbortController() }
-    feed.start(node.ended.signal)
+    const node: Node = { name, clock, path, feed, values, appliedVersions, abort: new AbortController() }
+    feed.start(node.abort.signal)
     this.nodes.push(node)
     return node
   }
 
-  /** Writes the next number, in an object that is as large as asked for; gives the number. */
+  /** Writes an object with the next number, filled up with `bytes` characters if given, and returns the number. */
   async write (name: string, bytes?: number): Promise<number> {
     const key = `${PREFIX}${name}`
-    const standing = (await this.shared.readObject(key))._unsafeUnwrap()
+    const existing = (await this.shared.readObject(key))._unsafeUnwrap()
     const number = ++this.written
-    await this.shared.writeObject(key, bytes === undefined ? number : { number, filling: 'x'.repeat(bytes) }, standing?.version ?? 0)
+    await this.shared.writeObject(key, bytes === undefined ? number : { number, filling: 'x'.repeat(bytes) }, existing?.version ?? 0)
     return number
   }
 
-  /** The newest number that a node has under a name; 0 when it has none. */
+  /** The number that a node has under a name; 0 if it has none. */
   readNumber (node: Node, name: string): number {
     const value = node.values.get(`${PREFIX}${name}`) as number | { number: number } | undefined
     return typeof value === 'object' ? value.number : value ?? 0
@@ -165,7 +164,7 @@
   }
 
   private listNames (): string[] {
-    return this.nodes.filter((node) => !node.ended.signal.aborted).map((node) => node.name)
+    return this.nodes.filter((node) => !node.abort.signal.aborted).map((node) => node.name)
   }
 }
 
--- a/config/feed/test/farBehind.test.ts
+++ b/config/feed/test/farBehind.test.ts
@@ -11,60 +11,60 @@
 
 const PREFIX = 'things/'
 const KEY = `${PREFIX}x`
-/** A whole configuration in one object. */
+/** Size of a whole configuration in one object. */
 const OBJECT_BYTES = 13_000
-const CHANGE_EVERY_MS = 150
-/** A link of 10 Mbit/s, less heads of packets and answers to clients. */
+const WRITE_INTERVAL_MS = 150
+/** A 10 Mbit/s link, less packet headers and responses to clients. */
 const DOWNLINK_BYTES_PER_SECOND = 1_000_000
-/** What the platform's adapter waits for beyond the time that a call may be held. */
-const EXTRA_MS = 700
-const CALL_MS = 1_500
-const CUT_MS = 20_000
-/** Bounds of the platform are two seconds and more. */
-const IN_FORCE_MS = 1_900
+/** Time that the store's client allows beyond the wait of a call. */
+const RESPONSE_MARGIN_MS = 700
+const LISTING_TIMEOUT_MS = 1_500
+const OUTAGE_MS = 20_000
+/** Below the 2 s within which a change must take effect. */
+const MAX_PROPAGATION_MS = 1_900
 
-/** A way to a store whose answers come over a narrow link; one that takes longer than the call may is lost. */
+/** A connection to a store over a narrow link; a response that takes longer than the call's timeout is lost. */
 class NarrowPath extends MemoryObjectStore {
   isCut = false
 
-  constructor (private readonly way: { clock: ManualClock, shared: MemoryObjectStore }) {
-    super({ clock: way.clock })
+  constructor (private readonly connection: { clock: ManualClock, shared: MemoryObjectStore }) {
+    super({ clock: connection.clock })
   }
 
   override async listObjects (prefix: string): ReturnType<ObjectStore['listObjects']> {
-    return this.carry(await this.way.shared.listObjects(prefix), CALL_MS)
+    return this.deliver(await this.connection.shared.listObjects(prefix), LISTING_TIMEOUT_MS)
   }
 
   override async waitForChanges (prefix: string, after: number, waitMs: number, signal?: AbortSignal): Promise<Result<ChangeBatch, PulleystackError>> {
-    const askedAt = this.way.clock.readTime()
-    const answer = await this.way.shared.waitForChanges(prefix, after, waitMs, signal)
-    return this.carry(answer, waitMs + EXTRA_MS - (this.way.clock.readTime() - askedAt))
+    const askedAt = this.connection.clock.readTime()
+    const answer = await this.connection.shared.waitForChanges(prefix, after, waitMs, signal)
+    return this.deliver(answer, waitMs + RESPONSE_MARGIN_MS - (this.connection.clock.readTime() - askedAt))
   }
 
-  private async carry<T> (answer: Result<T, PulleystackError>, leftMs: number): Promise<Result<T, PulleystackError>> {
-    const ms = JSON.stringify(answer.unwrapOr(null)).length / DOWNLINK_BYTES_PER_SECOND * 1000
-    await this.way.clock.wait(Math.min(ms, leftMs))
-    return this.isCut || ms > leftMs ? err(new PulleystackError('STORE_UNAVAILABLE', 'no answer in time')) : answer
+  private async deliver<T> (answer: Result<T, PulleystackError>, timeoutMs: number): Promise<Result<T, PulleystackError>> {
+    const transferMs = JSON.stringify(answer.unwrapOr(null)).length / DOWNLINK_BYTES_PER_SECOND * 1000
+    await this.connection.clock.wait(Math.min(transferMs, timeoutMs))
+    return this.isCut || transferMs > timeoutMs ? err(new PulleystackError('STORE_UNAVAILABLE', 'no answer in time')) : answer
   }
 }
 
-describe('a feed that was out of touch while a large object changed often', () => {
+describe('a feed that was disconnected while a large object changed often', () => {
   let clock: ManualClock
   let shared: MemoryObjectStore
   let path: NarrowPath
   let feed: StoreFeed
-  let held: number
+  let latestVersion: number
 
   const write = async (): Promise<number> => {
-    const standing = (await shared.readObject(KEY))._unsafeUnwrap()
-    return (await shared.writeObject(KEY, 'x'.repeat(OBJECT_BYTES), standing?.version ?? 0))._unsafeUnwrap()
+    const existing = (await shared.readObject(KEY))._unsafeUnwrap()
+    return (await shared.writeObject(KEY, 'x'.repeat(OBJECT_BYTES), existing?.version ?? 0))._unsafeUnwrap()
   }
 
   beforeEach(async () => {
     clock = new ManualClock()
     shared = new MemoryObjectStore({ clock })
     path = new NarrowPath({ clock, shared })
-    held = 0
+    latestVersion = 0
     await write()
     const network = new FakeHub({ clock, random: new RandomSource(3) })
       .createNode({ instance: 'n1', incarnation: 1, address: '', peerAddress: '', region: '', dataHall: '', leaving: false })
@@ -77,24 +77,24 @@
       prefix: PREFIX,
       instance: 'n1',
       listCandidates: () => ['n1'],
-      onListing: (objects) => objects.forEach(({ version }) => { held = version }),
-      onChanges: (changes) => changes.forEach(({ version }) => { held = version }),
+      onListing: (objects) => objects.forEach(({ version }) => { latestVersion = version }),
+      onChanges: (changes) => changes.forEach(({ version }) => { latestVersion = version }),
     })
     feed.start(new AbortController().signal)
     await clock.advance(2_000)
     path.isCut = true
-    const end = clock.readTime() + CUT_MS
+    const end = clock.readTime() + OUTAGE_MS
     while (clock.readTime() < end) {
       await write()
-      await clock.advance(CHANGE_EVERY_MS)
+      await clock.advance(WRITE_INTERVAL_MS)
     }
     path.isCut = false
   })
 
-  it('has the newest change in force in time once the store answers, though the history does not fit into one call', async () => {
+  it('applies the newest change in time once the store responds, although the history does not fit into one call', async () => {
     const newest = await write()
-    await clock.advance(2 * IN_FORCE_MS)
-    assert.equal(held, newest)
-    assert.ok(feed.ageMs < IN_FORCE_MS)
+    await clock.advance(2 * MAX_PROPAGATION_MS)
+    assert.equal(latestVersion, newest)
+    assert.ok(feed.ageMs < MAX_PROPAGATION_MS)
   })
 })
--- a/config/feed/test/narrowLinks.test.ts
+++ b/config/feed/test/narrowLinks.test.ts
@@ -1,167 +1,167 @@
 import assert from 'node:assert/strict'
 import { beforeEach, describe, it } from 'node:test'
-import { FeedBench, IN_FORCE_MS, type Node } from './FeedBench.js'
+import { FeedCluster, MAX_PROPAGATION_MS, type Node } from './FeedCluster.js'
 
-const COUNT = 16
-/** What a link of 10 Mbit/s carries beside heads of packets and answers to clients. */
+const INSTANCE_COUNT = 16
+/** A 10 Mbit/s link, less packet headers and responses to clients. */
 const UPLINK_BYTES_PER_SECOND = 1_000_000
-/** A whole configuration in one object. */
+/** Size of a whole configuration in one object. */
 const OBJECT_BYTES = 13_000
-const STORM_MS = 20_000
-const CHANGE_EVERY_MS = 150
-const LATE_NEWS_MS = 4_000
-/** A quarter of 10 Mbit/s, and what may go at once. */
-const NEWS_BYTES_PER_SECOND = 320_000
-const NEWS_BURST_BYTES = 128_000
-/** The watcher's own calls, of 300 bytes, are few beside that. */
-const CALLS_BYTES_PER_SECOND = 10_000
+const WRITE_PHASE_MS = 20_000
+const WRITE_INTERVAL_MS = 150
+const UPDATE_DELAY_MS = 4_000
+/** As in ByteBudget. */
+const UPDATE_BYTES_PER_SECOND = 320_000
+const UPDATE_BURST_BYTES = 128_000
+/** Upper bound for the watcher's own calls of 300 bytes. */
+const CALL_BYTES_PER_SECOND = 10_000
 const MAX_CALLS_PER_SECOND = 3
 
-describe('a feed of the store over narrow and slow links', () => {
-  let bench: FeedBench
+describe('StoreFeed over narrow and slow links', () => {
+  let cluster: FeedCluster
   let watcher: Node
   let others: Node[]
 
-  /** Writes one change after the other; each has to be in force in time on the nodes given. */
-  const bringChanges = async (nodes: readonly Node[], forMs: number, bytes = OBJECT_BYTES): Promise<void> => {
-    const { clock } = bench
-    const due: { number: number, at: number }[] = []
-    const end = clock.readTime() + forMs
+  /** Writes changes for a while and checks that each is applied in time on the given nodes. */
+  const writeChanges = async (nodes: readonly Node[], durationMs: number, bytes = OBJECT_BYTES): Promise<void> => {
+    const { clock } = cluster
+    const expected: { number: number, at: number }[] = []
+    const end = clock.readTime() + durationMs
     while (clock.readTime() < end) {
-      due.push({ number: await bench.write('x', bytes), at: clock.readTime() + IN_FORCE_MS })
-      await clock.advance(CHANGE_EVERY_MS)
-      while (due[0] && due[0].at <= clock.readTime()) checkInForce(nodes, due.shift()?.number ?? 0)
+      expected.push({ number: await cluster.write('x', bytes), at: clock.readTime() + MAX_PROPAGATION_MS })
+      await clock.advance(WRITE_INTERVAL_MS)
+      while (expected[0] && expected[0].at <= clock.readTime()) checkApplied(nodes, expected.shift()?.number ?? 0)
     }
-    await clock.advance(IN_FORCE_MS)
-    checkInForce(nodes, due.at(-1)?.number ?? 0)
+    await clock.advance(MAX_PROPAGATION_MS)
+    checkApplied(nodes, expected.at(-1)?.number ?? 0)
   }
-  const checkInForce = (nodes: readonly Node[], number: number): void => {
+  const checkApplied = (nodes: readonly Node[], number: number): void => {
     for (const node of nodes) {
-      const has = bench.readNumber(node, 'x')
-      assert.ok(has >= number, `${node.name} has ${has} at ${bench.clock.readTime()} ms, ${number} was due`)
+      const applied = cluster.readNumber(node, 'x')
+      assert.ok(applied >= number, `${node.name} has ${applied} at ${cluster.clock.readTime()} ms, expected ${number}`)
     }
   }
 
   beforeEach(async () => {
-    bench = new FeedBench(5)
-    for (let at = 1; at <= COUNT; at++) bench.start(`n${at}`)
-    await bench.clock.advance(3_000)
-    watcher = await bench.findWatcher()
-    others = bench.nodes.filter((node) => node !== watcher)
+    cluster = new FeedCluster(5)
+    for (let at = 1; at <= INSTANCE_COUNT; at++) cluster.start(`n${at}`)
+    await cluster.clock.advance(3_000)
+    watcher = await cluster.findWatcher()
+    others = cluster.nodes.filter((node) => node !== watcher)
   })
 
-  it('has every change in force in time while large objects change often and all links are narrow', async () => {
-    for (const node of bench.nodes) bench.hub.setUplink(node.name, UPLINK_BYTES_PER_SECOND)
-    await bringChanges(bench.nodes, STORM_MS)
+  it('applies every change in time while large objects change often and all links are narrow', async () => {
+    for (const node of cluster.nodes) cluster.hub.setUplink(node.name, UPLINK_BYTES_PER_SECOND)
+    await writeChanges(cluster.nodes, WRITE_PHASE_MS)
   })
 
-  for (const [what, bytes] of [['large', OBJECT_BYTES], ['small', 100]] as const) {
-    it(`puts a bounded share on the watcher's link while ${what} objects change often`, async () => {
-      bench.hub.setUplink(watcher.name, UPLINK_BYTES_PER_SECOND)
-      await bringChanges(bench.nodes, STORM_MS, bytes)
-      const seconds = (STORM_MS + IN_FORCE_MS) / 1000
-      assert.ok(bench.hub.countSentBytes(watcher.name) <= seconds * (NEWS_BYTES_PER_SECOND + CALLS_BYTES_PER_SECOND) + NEWS_BURST_BYTES)
+  for (const [size, bytes] of [['large', OBJECT_BYTES], ['small', 100]] as const) {
+    it(`limits the bytes on the watcher's link while ${size} objects change often`, async () => {
+      cluster.hub.setUplink(watcher.name, UPLINK_BYTES_PER_SECOND)
+      await writeChanges(cluster.nodes, WRITE_PHASE_MS, bytes)
+      const seconds = (WRITE_PHASE_MS + MAX_PROPAGATION_MS) / 1000
+      assert.ok(cluster.hub.countSentBytes(watcher.name) <= seconds * (UPDATE_BYTES_PER_SECOND + CALL_BYTES_PER_SECOND) + UPDATE_BURST_BYTES)
     })
   }
 
-  it('asks the store a few times a second for each instance while large objects change often', async () => {
+  it('limits the calls per second of each instance while large objects change often', async () => {
     const before = others.map((node) => node.path.calls)
-    await bringChanges(bench.nodes, STORM_MS)
-    const seconds = (STORM_MS + IN_FORCE_MS) / 1000
+    await writeChanges(cluster.nodes, WRITE_PHASE_MS)
+    const seconds = (WRITE_PHASE_MS + MAX_PROPAGATION_MS) / 1000
     for (const [at, node] of others.entries()) assert.ok(node.path.calls - (before[at] ?? 0) <= seconds * MAX_CALLS_PER_SECOND)
   })
 
-  it('asks for small changes by one instance only', async () => {
+  it('calls the store from one instance only while small objects change', async () => {
     const before = others.map((node) => node.path.calls)
-    await bringChanges(bench.nodes, STORM_MS, 100)
+    await writeChanges(cluster.nodes, WRITE_PHASE_MS, 100)
     assert.deepEqual(others.map((node) => node.path.calls), before)
   })
 
   for (const state of ['failing', 'silent'] as const) {
-    it(`has every change in force in time on instances whose path to the store is ${state}, while large objects change often`, async () => {
-      for (const node of bench.nodes) bench.hub.setUplink(node.name, UPLINK_BYTES_PER_SECOND)
+    it(`applies every change in time on instances whose connection to the store is ${state}, while large objects change often`, async () => {
+      for (const node of cluster.nodes) cluster.hub.setUplink(node.name, UPLINK_BYTES_PER_SECOND)
       for (const node of others.slice(0, 3)) node.path.state = state
-      await bringChanges(bench.nodes, STORM_MS)
+      await writeChanges(cluster.nodes, WRITE_PHASE_MS)
     })
   }
 
-  describe('with news that are old when they arrive', () => {
-    let late: Node
+  describe('with updates that are outdated when they arrive', () => {
+    let delayed: Node
 
     beforeEach(() => {
-      late = others[0] as Node
+      delayed = others[0] as Node
     })
 
-    it('has changes in force in time on an instance to which news take seconds', async () => {
-      bench.hub.setDelay(watcher.name, late.name, LATE_NEWS_MS)
+    it('applies changes in time on an instance that receives updates seconds late', async () => {
+      cluster.hub.setDelay(watcher.name, delayed.name, UPDATE_DELAY_MS)
       for (let round = 0; round < 3; round++) {
-        // News that nothing changed are on the way by now.
-        await bench.clock.advance(2 * LATE_NEWS_MS)
-        const number = await bench.write('x')
-        await bench.clock.advance(IN_FORCE_MS)
-        checkInForce([late], number)
+        // Updates without changes are in transit by now.
+        await cluster.clock.advance(2 * UPDATE_DELAY_MS)
+        const number = await cluster.write('x')
+        await cluster.clock.advance(MAX_PROPAGATION_MS)
+        checkApplied([delayed], number)
       }
     })
 
-    it('has a change in force in time when a silent cut delivers what it held and goes on', async () => {
-      const { clock, hub } = bench
-      hub.hold(watcher.name, late.name)
+    it('applies a change in time when a stalled connection delivers its backlog and stalls again', async () => {
+      const { clock, hub } = cluster
+      hub.hold(watcher.name, delayed.name)
       await clock.advance(800)
-      const number = await bench.write('x')
+      const number = await cluster.write('x')
       hub.releaseAll()
-      hub.hold(watcher.name, late.name)
-      await clock.advance(IN_FORCE_MS)
-      checkInForce([late], number)
+      hub.hold(watcher.name, delayed.name)
+      await clock.advance(MAX_PROPAGATION_MS)
+      checkApplied([delayed], number)
     })
 
-    it('has a change in force in time when a process thaws and takes old news first', async () => {
-      const { clock, hub } = bench
-      const holdAll = (): void => bench.nodes.forEach((node) => hub.hold(node.name, late.name))
-      late.clock.freeze()
+    it('applies a change in time when a frozen process resumes and receives outdated updates first', async () => {
+      const { clock, hub } = cluster
+      const holdAll = (): void => cluster.nodes.forEach((node) => hub.hold(node.name, delayed.name))
+      delayed.clock.freeze()
       holdAll()
-      await clock.advance(LATE_NEWS_MS)
-      const number = await bench.write('x')
-      hub.cut(watcher.name, late.name)
+      await clock.advance(UPDATE_DELAY_MS)
+      const number = await cluster.write('x')
+      hub.cut(watcher.name, delayed.name)
       await clock.advance(900)
       hub.releaseAll()
       holdAll()
-      late.clock.thaw()
-      await clock.advance(IN_FORCE_MS - 900)
-      checkInForce([late], number)
+      delayed.clock.resume()
+      await clock.advance(MAX_PROPAGATION_MS - 900)
+      checkApplied([delayed], number)
     })
   })
 
-  describe('with clocks that differ', () => {
-    it('has changes in force in time, asked for by one instance only', async () => {
-      bench = new FeedBench(5)
-      for (let at = 1; at <= COUNT; at++) bench.start(`n${at}`, { offsetMs: (at % 5 - 2) * 1_000_000 })
-      const asking = await bench.findWatcher()
-      const before = bench.nodes.map((node) => node.path.calls)
-      const number = await bench.write('x')
-      await bench.clock.advance(IN_FORCE_MS)
-      checkInForce(bench.nodes, number)
-      for (const [at, node] of bench.nodes.entries()) if (node !== asking) assert.equal(node.path.calls, before[at])
+  describe('with different clocks', () => {
+    it('applies changes in time, with calls from one instance only', async () => {
+      cluster = new FeedCluster(5)
+      for (let at = 1; at <= INSTANCE_COUNT; at++) cluster.start(`n${at}`, { offsetMs: (at % 5 - 2) * 1_000_000 })
+      const caller = await cluster.findWatcher()
+      const before = cluster.nodes.map((node) => node.path.calls)
+      const number = await cluster.write('x')
+      await cluster.clock.advance(MAX_PROPAGATION_MS)
+      checkApplied(cluster.nodes, number)
+      for (const [at, node] of cluster.nodes.entries()) if (node !== caller) assert.equal(node.path.calls, before[at])
     })
 
-    it('has changes in force in time, and no copy counted too young, while no instance knows the clocks of others', async () => {
-      bench = new FeedBench(5)
-      for (let at = 1; at <= COUNT; at++) bench.start(`n${at}`, { offsetMs: at * 1_000_000, isClockKnown: false })
-      await bench.clock.advance(3_000)
-      const number = await bench.write('x')
-      await bench.clock.advance(IN_FORCE_MS)
-      checkInForce(bench.nodes, number)
-      for (const node of bench.nodes) assert.ok(node.feed.ageMs < IN_FORCE_MS)
+    it('applies changes in time on instances that do not know the clocks of others', async () => {
+      cluster = new FeedCluster(5)
+      for (let at = 1; at <= INSTANCE_COUNT; at++) cluster.start(`n${at}`, { offsetMs: at * 1_000_000, isClockKnown: false })
+      await cluster.clock.advance(3_000)
+      const number = await cluster.write('x')
+      await cluster.clock.advance(MAX_PROPAGATION_MS)
+      checkApplied(cluster.nodes, number)
+      for (const node of cluster.nodes) assert.ok(node.feed.ageMs < MAX_PROPAGATION_MS)
     })
   })
 
-  describe('of an instance that starts while the store is away', () => {
-    it('counts the copy that a peer gave it as no younger than the peer\'s', async () => {
-      for (const node of bench.nodes) node.path.state = 'failing'
-      await bench.clock.advance(3_000)
-      const fresh = bench.start('n0', { state: 'failing' })
-      await bench.clock.advance(1_000)
+  describe('on an instance that starts while the store is unavailable', () => {
+    it('reports a replica loaded from a peer as no fresher than the peer\'s', async () => {
+      for (const node of cluster.nodes) node.path.state = 'failing'
+      await cluster.clock.advance(3_000)
+      const fresh = cluster.start('n0', { state: 'failing' })
+      await cluster.clock.advance(1_000)
       assert.equal(fresh.feed.newestRevision, watcher.feed.newestRevision)
-      assert.ok(fresh.feed.ageMs >= Math.min(...bench.nodes.filter((node) => node !== fresh).map((node) => node.feed.ageMs)))
+      assert.ok(fresh.feed.ageMs >= Math.min(...cluster.nodes.filter((node) => node !== fresh).map((node) => node.feed.ageMs)))
     })
   })
 })
--- a/config/feed/test/peerTimes.test.ts
+++ b/config/feed/test/peerTimes.test.ts
@@ -1,47 +1,47 @@
 import assert from 'node:assert/strict'
 import { beforeEach, describe, it } from 'node:test'
-import { NEWS, type FeedNews } from '../src/channels.js'
-import { FeedBench, IN_FORCE_MS, PREFIX, type Node } from './FeedBench.js'
+import { UPDATE, type FeedUpdate } from '../src/channels.js'
+import { FeedCluster, MAX_PROPAGATION_MS, PREFIX, type Node } from './FeedCluster.js'
 
-/** How long the peer's process ran before it was started again. */
-const FORMER_LIFE_MS = 60_000
+/** Duration of the peer's previous process run. */
+const PREVIOUS_RUN_MS = 60_000
 
-describe('a feed that is told of times by peers', () => {
-  let bench: FeedBench
+describe('times of peers in updates', () => {
+  let cluster: FeedCluster
   let watcher: Node
-  let late: Node
+  let follower: Node
 
-  /** Brings one message of the watcher to the other, whatever the clocks say. */
-  const tell = async (knownAt: number | undefined): Promise<void> => {
-    const revision = late.feed.newestRevision
-    const sender = bench.hub.findNode(watcher.name)
-    sender?.send(late.name, NEWS, { prefix: PREFIX, from: revision, to: revision, changes: [], knownAt } as FeedNews)
-    await bench.clock.advance(50)
+  /** Sends one update with the given time from the watcher to the follower. */
+  const sendUpdate = async (knownAt: number | undefined): Promise<void> => {
+    const revision = follower.feed.newestRevision
+    const sender = cluster.hub.findNode(watcher.name)
+    sender?.send(follower.name, UPDATE, { prefix: PREFIX, from: revision, to: revision, changes: [], knownAt } as FeedUpdate)
+    await cluster.clock.advance(50)
   }
-  const checkGoesOn = async (): Promise<void> => {
-    bench.hub.hold(watcher.name, late.name)
-    const number = await bench.write('x')
-    await bench.clock.advance(IN_FORCE_MS)
-    assert.ok(bench.readNumber(late, 'x') >= number)
+  const checkReceivesChanges = async (): Promise<void> => {
+    cluster.hub.hold(watcher.name, follower.name)
+    const number = await cluster.write('x')
+    await cluster.clock.advance(MAX_PROPAGATION_MS)
+    assert.ok(cluster.readNumber(follower, 'x') >= number)
   }
 
   beforeEach(async () => {
-    bench = new FeedBench(5)
-    for (const name of ['n1', 'n2', 'n3']) bench.start(name)
-    await bench.clock.advance(3_000)
-    watcher = await bench.findWatcher()
-    late = bench.nodes.find((node) => node !== watcher) as Node
+    cluster = new FeedCluster(5)
+    for (const name of ['n1', 'n2', 'n3']) cluster.start(name)
+    await cluster.clock.advance(3_000)
+    watcher = await cluster.findWatcher()
+    follower = cluster.nodes.find((node) => node !== watcher) as Node
   })
 
-  it('takes a time that lies ahead for no later than now, as of a message that a former life of the peer sent', async () => {
-    await tell(bench.clock.readTime() + FORMER_LIFE_MS)
-    assert.ok(late.feed.ageMs >= 0, `${late.feed.ageMs}`)
-    await checkGoesOn()
+  it('caps a time in the future at the current time, as in a message of the peer\'s previous process run', async () => {
+    await sendUpdate(cluster.clock.readTime() + PREVIOUS_RUN_MS)
+    assert.ok(follower.feed.ageMs >= 0, `${follower.feed.ageMs}`)
+    await checkReceivesChanges()
   })
 
-  it('takes news without a time, as a former version sends them, for no newer than it knows', async () => {
-    await tell(undefined)
-    assert.ok(Number.isFinite(late.feed.ageMs), `${late.feed.ageMs}`)
-    await checkGoesOn()
+  it('does not count an update without a time, as a former version sends it, as fresh', async () => {
+    await sendUpdate(undefined)
+    assert.ok(Number.isFinite(follower.feed.ageMs), `${follower.feed.ageMs}`)
+    await checkReceivesChanges()
   })
 })
