--- a/config/admission/src/admitObject.ts
+++ b/config/admission/src/admitObject.ts
@@ -3,26 +3,26 @@
 import { err, ok, type Result } from 'neverthrow'
 import { checkCapacity } from './checkCapacity.js'
 
-/** Who asks for a change. */
+/** The author of a change. */
 export interface Operator {
   name: string
-  /** Partner whose objects the operator may read and write; `platform` for those who run the pool. */
+  /** Partner whose objects the operator may read and write; `platform` for administrators of the pool. */
   partner: string
 }
 
-/** Accelerators that the pool has, in bytes each. */
 export interface PoolCapacity {
+  /** Memory of each accelerator. */
   acceleratorBytes: number[]
 }
 
-/** What admission needs to see of the configuration in force. */
+/** Read access to the current configuration and the pool's capacity. */
 export interface AdmissionView {
   findObject<K extends Kind>(kind: K, partner: string, name: string): ConfigObject<K> | undefined
   listObjects<K extends Kind>(kind: K, partner?: string): ConfigObject<K>[]
   readCapacity (): PoolCapacity
 }
 
-/** Decides whether an operator's object may be written; the error names the field and what to do. */
+/** Checks whether an operator may write an object; the error names the field and a hint. */
 export function admitObject (value: unknown, operator: Operator, view: AdmissionView): Result<ConfigObject, PulleystackError> {
   return parseConfigObject(value)
     .andThen((object) => checkOwner(object, operator))
@@ -32,7 +32,7 @@
     .andThen((object) => checkCapacity(object, view))
 }
 
-/** Decides whether an object may be deleted: its owner asks and nothing refers to it. */
+/** Checks whether an operator may delete an object: it must own the object, and no other object may refer to it. */
 export function admitDeletion (target: { kind: Kind, partner: string, name: string }, operator: Operator, view: AdmissionView): Result<void, PulleystackError> {
   const owner = checkOwner(target, operator)
   if (owner.isErr()) return err(owner.error)
@@ -44,7 +44,7 @@
 function checkOwner<T extends { kind: Kind, partner: string }> (object: T, operator: Operator): Result<T, PulleystackError> {
   const owner = object.kind === Kinds.QUOTA ? PLATFORM_PARTNER : object.partner
   if (owner === operator.partner) return ok(object)
-  return err(new PulleystackError('NOT_OWNER', `${object.kind} of partner "${object.partner}" is written by operators of "${owner}" only`, {
+  return err(new PulleystackError('NOT_OWNER', `${object.kind} of partner "${object.partner}" may only be written by operators of "${owner}"`, {
     field: 'partner',
     hint: `You are an operator of "${operator.partner}".`,
   }))
@@ -80,27 +80,27 @@
 function checkCallerKeys (object: ConfigObject, view: AdmissionView): Result<ConfigObject, PulleystackError> {
   if (object.kind !== Kinds.CALLER) return ok(object)
   const hashes = new Set((object as ConfigObject<'Caller'>).spec.keyHashes)
-  const other = view.listObjects(Kinds.CALLER).find((it) => !isSame(it, object) && it.spec.keyHashes.some((hash) => hashes.has(hash)))
+  const other = view.listObjects(Kinds.CALLER).find((it) => !isSameObject(it, object) && it.spec.keyHashes.some((hash) => hashes.has(hash)))
   if (!other) return ok(object)
-  // The other caller is not named: it may be the other partner's.
-  return err(new PulleystackError('OBJECT_INVALID', 'An access key of this caller is used already', { field: 'spec.keyHashes', hint: 'Create a fresh key.' }))
+  // The error doesn't name the other caller because it may belong to another partner.
+  return err(new PulleystackError('OBJECT_INVALID', 'An access key of this caller is already in use', { field: 'spec.keyHashes', hint: 'Create a new key.' }))
 }
 
-/** A host belongs to one partner, and each of its prefixes to one route, so that nobody can take another's requests over. */
+/** A host belongs to one partner and each of its prefixes to one route, so that no partner can capture another's requests. */
 function checkRouteHost (object: ConfigObject, view: AdmissionView): Result<ConfigObject, PulleystackError> {
   if (object.kind !== Kinds.ROUTE) return ok(object)
   const { host, pathPrefix } = (object as ConfigObject<'Route'>).spec
-  const sameHost = view.listObjects(Kinds.ROUTE).filter((it) => !isSame(it, object) && it.spec.host === host)
-  const taken = sameHost.find((it) => it.partner !== object.partner || it.spec.pathPrefix === pathPrefix)
-  if (!taken) return ok(object)
-  const isForeign = taken.partner !== object.partner
-  return err(new PulleystackError('OBJECT_INVALID', isForeign ? `Host "${host}" is not this partner's` : `Route "${taken.name}" has the same host and prefix`, {
+  const sameHost = view.listObjects(Kinds.ROUTE).filter((it) => !isSameObject(it, object) && it.spec.host === host)
+  const other = sameHost.find((it) => it.partner !== object.partner || it.spec.pathPrefix === pathPrefix)
+  if (!other) return ok(object)
+  const isForeign = other.partner !== object.partner
+  return err(new PulleystackError('OBJECT_INVALID', isForeign ? `Host "${host}" is not this partner's` : `Route "${other.name}" has the same host and prefix`, {
     field: isForeign ? 'spec.host' : 'spec.pathPrefix',
     hint: isForeign ? 'Use a host of your own.' : 'Change that route, or use another prefix.',
   }))
 }
 
-function isSame (a: ConfigObject, b: ConfigObject): boolean {
+function isSameObject (a: ConfigObject, b: ConfigObject): boolean {
   return a.partner === b.partner && a.name === b.name
 }
 
--- a/config/admission/src/checkCapacity.ts
+++ b/config/admission/src/checkCapacity.ts
@@ -3,16 +3,16 @@
 import { err, ok, type Result } from 'neverthrow'
 import type { AdmissionView } from './admitObject.js'
 
-/** Refuses intent that cannot be met: a model larger than any accelerator, or minimum copies beyond the pool. */
+/** Rejects a model larger than any accelerator, minimum copies beyond the partner's share, and quotas that exceed the pool. */
 export function checkCapacity (object: ConfigObject, view: AdmissionView): Result<ConfigObject, PulleystackError> {
   if (object.kind === Kinds.QUOTA) return checkQuota(object as ConfigObject<'Quota'>, view)
   if (object.kind !== Kinds.MODEL && object.kind !== Kinds.ADAPTER && object.kind !== Kinds.MODEL_VERSION) return ok(object)
   const sizes = view.readCapacity().acceleratorBytes
   if (sizes.length === 0) return ok(object)
-  return checkLargest(object, sizes, view).andThen(() => checkTotal(object, sizes, view))
+  return checkAcceleratorSize(object, sizes, view).andThen(() => checkPartnerShare(object, sizes, view))
 }
 
-function checkLargest (object: ConfigObject, sizes: number[], view: AdmissionView): Result<ConfigObject, PulleystackError> {
+function checkAcceleratorSize (object: ConfigObject, sizes: number[], view: AdmissionView): Result<ConfigObject, PulleystackError> {
   const largest = Math.max(...sizes)
   const needed = measureBytes(object, view)
   if (needed <= largest) return ok(object)
@@ -21,16 +21,16 @@
   }))
 }
 
-function checkTotal (object: ConfigObject, sizes: number[], view: AdmissionView): Result<ConfigObject, PulleystackError> {
-  const pool = sizes.reduce((sum, size) => sum + size, 0)
-  const share = computeShare(object.partner, view)
-  const allowed = Math.floor(pool * share)
-  const others = listSized(object.partner, view).filter((it) => it.kind !== object.kind || it.name !== object.name)
-  const needed = [...others, object].reduce((sum, it) => sum + measureMinimum(it, view), 0)
+function checkPartnerShare (object: ConfigObject, sizes: number[], view: AdmissionView): Result<ConfigObject, PulleystackError> {
+  const poolBytes = sizes.reduce((sum, size) => sum + size, 0)
+  const share = computeGuaranteedShare(object.partner, view)
+  const allowed = Math.floor(poolBytes * share)
+  const others = listSizedObjects(object.partner, view).filter((it) => it.kind !== object.kind || it.name !== object.name)
+  const needed = [...others, object].reduce((sum, it) => sum + measureMinimumBytes(it, view), 0)
   if (needed <= allowed) return ok(object)
-  return err(new PulleystackError('CAPACITY_EXCEEDED', `Partner "${object.partner}" would need ${needed} bytes for its minimum copies; ${allowed} of the pool are its own`, {
+  return err(new PulleystackError('CAPACITY_EXCEEDED', `Partner "${object.partner}" would need ${needed} bytes for minimum copies; its share is ${allowed}`, {
     field: object.kind === Kinds.MODEL ? 'spec.minCopies' : 'spec.bytes',
-    hint: 'Lower minCopies, delete what is not needed, or ask those who run the pool for a larger quota.',
+    hint: 'Lower minCopies, delete unused objects, or ask the administrators of the pool for a larger quota.',
   }))
 }
 
@@ -41,15 +41,15 @@
   return err(new PulleystackError('CAPACITY_EXCEEDED', `The guaranteed shares of all partners would add up to ${total.toFixed(3)}`, { field: 'spec.guaranteedShare' }))
 }
 
-// What others declare must not decide over this partner, so its share without a quota is what quotas leave.
-function computeShare (partner: string, view: AdmissionView): number {
+// Objects of other partners must not affect this share, so a partner without a quota gets what all quotas leave.
+function computeGuaranteedShare (partner: string, view: AdmissionView): number {
   const quotas = view.listObjects(Kinds.QUOTA)
   const own = quotas.find((it) => it.partner === partner)
   if (own) return own.spec.guaranteedShare
   return Math.max(0, 1 - quotas.reduce((sum, it) => sum + it.spec.guaranteedShare, 0))
 }
 
-function listSized (partner: string, view: AdmissionView): ConfigObject[] {
+function listSizedObjects (partner: string, view: AdmissionView): ConfigObject[] {
   return [...view.listObjects(Kinds.MODEL, partner), ...view.listObjects(Kinds.ADAPTER, partner)]
 }
 
@@ -60,11 +60,11 @@
   }
   const spec = (object as ConfigObject<'Adapter'>).spec
   const base = view.findObject(Kinds.MODEL, object.partner, spec.model)
-  const beside = object.kind === Kinds.ADAPTER ? base?.spec.bytes ?? 0 : 0
-  return spec.bytes + beside + (base?.spec.kvFloorBytes ?? 0)
+  const baseBytes = object.kind === Kinds.ADAPTER ? base?.spec.bytes ?? 0 : 0
+  return spec.bytes + baseBytes + (base?.spec.kvFloorBytes ?? 0)
 }
 
-function measureMinimum (object: ConfigObject, view: AdmissionView): number {
+function measureMinimumBytes (object: ConfigObject, view: AdmissionView): number {
   if (object.kind === Kinds.MODEL) return measureBytes(object, view) * ((object as ConfigObject<'Model'>).spec.minCopies ?? 1)
   if (object.kind === Kinds.ADAPTER) return (object as ConfigObject<'Adapter'>).spec.bytes
   return 0
--- a/config/admission/test/isolation.test.ts
+++ b/config/admission/test/isolation.test.ts
@@ -14,8 +14,8 @@
 
 const MEBI = 1024 ** 2
 
-/** A configuration that operators change through admission only. */
-class Bench {
+/** A configuration that is changed through admission only. */
+class ConfigFixture {
   readonly replica = new ConfigReplica()
   readonly index = new ConfigIndex(this.replica)
   readonly clock = new ManualClock()
@@ -69,7 +69,7 @@
     return admitted.match(() => 'ok', (error) => error.code)
   }
 
-  /** Every decision for one partner: who may use what, where it may run, what would be accepted, what is placed. */
+  /** Decisions for one partner: allowed models, eligible servers, admission of a test model, and unplaced models. */
   describeDecisions (partner: string): unknown {
     const caller = this.index.findObject(Kinds.CALLER, partner, 'c') as ConfigObject<'Caller'>
     const groups = this.index.listObjects(Kinds.MODEL, partner).map((model): PlanGroup => ({
@@ -87,12 +87,12 @@
       models: listAllowedModels(this.index, caller),
       servers: this.eligible.list(partner, 'drafts').map((runner) => runner.id),
       admission: trial.match(() => 'ok', (error) => `${error.code} ${error.message}`),
-      placed: this.placeAll(partner, groups),
+      unplaced: this.listUnplaced(partner, groups),
     }
   }
 
-  /** Whether each of the partner's models finds a place while the other's fill the pool. */
-  private placeAll (partner: string, own: readonly PlanGroup[]): string[] {
+  /** Lists the partner's models that the planner cannot place while the other partner's models fill the pool. */
+  private listUnplaced (partner: string, own: readonly PlanGroup[]): string[] {
     const others = this.index.listObjects(Kinds.MODEL).filter((model) => model.partner !== partner).map((model): PlanGroup => ({
       item: `${model.partner}/${model.name}`,
       partner: model.partner,
@@ -114,7 +114,7 @@
   }
 }
 
-const nameOf = fc.constantFrom('m0', 'm1', 'm2', 'drafts', 'c', 'e1', 'pool')
+const objectName = fc.constantFrom('m0', 'm1', 'm2', 'drafts', 'c', 'e1', 'pool')
 const change = fc.oneof(
   fc.record({ do: fc.constant('service' as const), name: fc.constantFrom('drafts', 'other'), partner: fc.constantFrom('p', 'q'), open: fc.boolean() }),
   fc.record({ do: fc.constant('model' as const), name: fc.constantFrom('m0', 'm1', 'm2'), partner: fc.constantFrom('p', 'q'), size: fc.integer({ min: 1, max: 120 }), minCopies: fc.integer({ min: 1, max: 4 }) }),
@@ -122,48 +122,48 @@
   fc.record({ do: fc.constant('labels' as const), server: fc.constantFrom('e0', 'e1', 'e2', 'e3'), partner: fc.constantFrom('p', 'q'), zone: fc.constantFrom('mine', 'yours') }),
   fc.record({ do: fc.constant('caller' as const), partner: fc.constantFrom('p', 'q'), key: fc.constantFrom('p-key', 'q-key', 'new') }),
   fc.record({ do: fc.constant('quota' as const), partner: fc.constantFrom('p', 'q'), share: fc.double({ min: 0, max: 1, noNaN: true }) }),
-  fc.record({ do: fc.constant('remove' as const), kind: fc.constantFrom(...Object.values(Kinds)), partner: fc.constantFrom('p', 'q'), name: nameOf }),
+  fc.record({ do: fc.constant('remove' as const), kind: fc.constantFrom(...Object.values(Kinds)), partner: fc.constantFrom('p', 'q'), name: objectName }),
 )
 
 type Change = typeof change extends fc.Arbitrary<infer T> ? T : never
 
-function bringAbout (bench: Bench, operator: string, it: Change): string {
+function applyChange (fixture: ConfigFixture, operator: string, it: Change): string {
   const { partner } = it
-  if (it.do === 'service') return bench.change(operator, buildService(partner, it.name, it.open ? {} : { callers: { role: 'nobody' } }))
-  if (it.do === 'model') return bench.change(operator, buildModel(partner, it.name, { bytes: it.size * MEBI, minCopies: it.minCopies }))
-  if (it.do === 'adapter') return bench.change(operator, buildAdapter(partner, it.name, { model: 'm0', bytes: it.size * MEBI }))
-  if (it.do === 'caller') return bench.change(operator, buildCaller(partner, 'c2', it.key))
-  if (it.do === 'quota') return bench.change(operator, buildQuota(partner, { guaranteedShare: it.share, mayBorrow: true }))
+  if (it.do === 'service') return fixture.change(operator, buildService(partner, it.name, it.open ? {} : { callers: { role: 'nobody' } }))
+  if (it.do === 'model') return fixture.change(operator, buildModel(partner, it.name, { bytes: it.size * MEBI, minCopies: it.minCopies }))
+  if (it.do === 'adapter') return fixture.change(operator, buildAdapter(partner, it.name, { model: 'm0', bytes: it.size * MEBI }))
+  if (it.do === 'caller') return fixture.change(operator, buildCaller(partner, 'c2', it.key))
+  if (it.do === 'quota') return fixture.change(operator, buildQuota(partner, { guaranteedShare: it.share, mayBorrow: true }))
   if (it.do === 'labels') {
-    return bench.change(operator, { kind: Kinds.BACKEND_SERVER_LABELS, partner, name: it.server, spec: { server: it.server, serverLabels: { zone: it.zone, size: 'large' } } })
+    return fixture.change(operator, { kind: Kinds.BACKEND_SERVER_LABELS, partner, name: it.server, spec: { server: it.server, serverLabels: { zone: it.zone, size: 'large' } } })
   }
-  return bench.remove(operator, it)
+  return fixture.remove(operator, it)
 }
 
 describe('isolation between partners', () => {
-  it('leaves every decision for one as it was after any changes by the other', async () => {
+  it('keeps all decisions for one partner unchanged after any changes by the other', async () => {
     await checkProperty([fc.array(change, { minLength: 1, maxLength: 25 })], (changes) => {
-      const bench = new Bench()
-      const before = bench.describeDecisions('p')
-      for (const it of changes) bringAbout(bench, 'q', it)
-      assert.deepEqual(bench.describeDecisions('p'), before)
+      const fixture = new ConfigFixture()
+      const before = fixture.describeDecisions('p')
+      for (const it of changes) applyChange(fixture, 'q', it)
+      assert.deepEqual(fixture.describeDecisions('p'), before)
     }, 200)
   })
 
-  it('refuses every write to the other\'s objects', async () => {
+  it('rejects every write to another partner\'s objects', async () => {
     await checkProperty([fc.array(change, { minLength: 1, maxLength: 20 })], (changes) => {
-      const bench = new Bench()
+      const fixture = new ConfigFixture()
       for (const it of changes) {
-        if (it.partner === 'p') assert.notEqual(bringAbout(bench, 'q', it), 'ok')
+        if (it.partner === 'p') assert.notEqual(applyChange(fixture, 'q', it), 'ok')
       }
     }, 200)
   })
 
-  it('does not tell whose key it is that is already used', () => {
-    const bench = new Bench()
+  it('does not reveal the owner of a key that is already in use', () => {
+    const fixture = new ConfigFixture()
     const admitted = admitObject(buildCaller('q', 'c2', 'p-key'), { name: 'o', partner: 'q' }, {
-      findObject: bench.index.findObject.bind(bench.index),
-      listObjects: bench.index.listObjects.bind(bench.index),
+      findObject: fixture.index.findObject.bind(fixture.index),
+      listObjects: fixture.index.listObjects.bind(fixture.index),
       readCapacity: () => ({ acceleratorBytes: [] }),
     })
     const error = admitted._unsafeUnwrapErr()
@@ -173,19 +173,19 @@
 })
 
 describe('admitObject', () => {
-  it('refuses a model larger than any accelerator and says what the largest has', () => {
-    assert.equal(new Bench().change('p', buildModel('p', 'big', { bytes: 101 * MEBI })), 'CAPACITY_EXCEEDED')
+  it('rejects a model larger than any accelerator', () => {
+    assert.equal(new ConfigFixture().change('p', buildModel('p', 'big', { bytes: 101 * MEBI })), 'CAPACITY_EXCEEDED')
   })
 
-  it('refuses minimum copies beyond the partner\'s share, before anything breaks', () => {
-    const bench = new Bench()
-    assert.equal(bench.change('p', buildModel('p', 'm1', { bytes: 60 * MEBI, minCopies: 3 })), 'ok')
-    assert.equal(bench.change('p', buildModel('p', 'm2', { bytes: 60 * MEBI })), 'CAPACITY_EXCEEDED')
+  it('rejects minimum copies beyond the partner\'s share', () => {
+    const fixture = new ConfigFixture()
+    assert.equal(fixture.change('p', buildModel('p', 'm1', { bytes: 60 * MEBI, minCopies: 3 })), 'ok')
+    assert.equal(fixture.change('p', buildModel('p', 'm2', { bytes: 60 * MEBI })), 'CAPACITY_EXCEEDED')
   })
 
-  it('refuses references to what is not there, and deleting what is referred to', () => {
-    const bench = new Bench()
-    assert.equal(bench.change('p', buildModel('p', 'm1', { service: 'nothing' })), 'REFERENCE_MISSING')
-    assert.equal(bench.remove('p', { kind: Kinds.SERVICE, partner: 'p', name: 'drafts' }), 'OBJECT_IN_USE')
+  it('rejects references to missing objects and deletion of referenced objects', () => {
+    const fixture = new ConfigFixture()
+    assert.equal(fixture.change('p', buildModel('p', 'm1', { service: 'nothing' })), 'REFERENCE_MISSING')
+    assert.equal(fixture.remove('p', { kind: Kinds.SERVICE, partner: 'p', name: 'drafts' }), 'OBJECT_IN_USE')
   })
 })
