--- a/config/merge/src/mergeThreeWay.ts
+++ b/config/merge/src/mergeThreeWay.ts
@@ -10,23 +10,23 @@
 }
 
 /**
- * Merges what is asked for into what stands. A field that was applied last time and isn't asked for now is
- * removed; one that was never applied (somebody else set it) stays. Lists are replaced whole.
+ * Merges the desired value into the current one. Fields that were applied before and are no longer desired are removed; fields that were never
+ * applied (set by others) stay. Lists are replaced as a whole.
  */
-export function mergeThreeWay (lastApplied: unknown, wanted: unknown, standing: unknown): unknown {
-  if (!isMap(wanted) || !isMap(standing)) return wanted
+export function mergeThreeWay (lastApplied: unknown, desired: unknown, current: unknown): unknown {
+  if (!isMap(desired) || !isMap(current)) return desired
   const last = isMap(lastApplied) ? lastApplied : {}
   const merged: JsonMap = {}
-  for (const name of Object.keys(standing)) {
-    if (name in wanted || !(name in last)) merged[name] = standing[name]
+  for (const name of Object.keys(current)) {
+    if (name in desired || !(name in last)) merged[name] = current[name]
   }
-  for (const name of Object.keys(wanted)) {
-    merged[name] = name in standing ? mergeThreeWay(last[name], wanted[name], standing[name]) : wanted[name]
+  for (const name of Object.keys(desired)) {
+    merged[name] = name in current ? mergeThreeWay(last[name], desired[name], current[name]) : desired[name]
   }
   return merged
 }
 
-/** Lists the fields in which two values differ, with dotted names. */
+/** Lists the fields in which two values differ, with dotted paths. */
 export function listDifferences (before: unknown, after: unknown, field = ''): Difference[] {
   if (equal(before, after)) return []
   if (!isMap(before) || !isMap(after)) return [{ field, before, after }]
