--- a/config/objects/src/items.ts
+++ b/config/objects/src/items.ts
@@ -1,17 +1,16 @@
 /** Version of a model that has no ModelVersion object. */
 export const BASE_VERSION = 'base'
 
-/** Name under which a model's version occupies accelerator memory. */
+/** Builds the name of a model version as an item in accelerator memory. */
 export function buildModelItem (partner: string, model: string, version: string = BASE_VERSION): string {
   return `${partner}/${model}@${version}`
 }
 
-/** Name under which an adapter occupies accelerator memory. */
+/** Builds the name of an adapter as an item in accelerator memory. */
 export function buildAdapterItem (partner: string, adapter: string): string {
   return `${partner}/+${adapter}`
 }
 
-/** Takes an item's name apart. */
 export function parseItem (item: string): { partner: string, model?: string, version?: string, adapter?: string } {
   const slash = item.indexOf('/')
   const partner = item.slice(0, slash)
--- a/config/objects/src/kinds.ts
+++ b/config/objects/src/kinds.ts
@@ -1,4 +1,4 @@
-/** Kinds that operators write. The system's own kinds live in the packages that use them. */
+/** Kinds of objects that operators write. */
 export const Kinds = {
   SERVICE: 'Service',
   MODEL: 'Model',
@@ -11,28 +11,28 @@
 } as const
 export type Kind = typeof Kinds[keyof typeof Kinds]
 
-/** The two classes of work: what must be answered at once, and what may wait but arrives once and whole. */
+/** Service classes: lookups need a fast response; work may wait, but must complete exactly once. */
 export const ServiceClasses = { LOOKUP: 'lookup', WORK: 'work' } as const
 export type ServiceClass = typeof ServiceClasses[keyof typeof ServiceClasses]
 
-/** Objects of this name belong to those who run the pool, not to a partner. */
+/** Partner name of objects that belong to the administrators of the pool. */
 export const PLATFORM_PARTNER = 'platform'
 
 const PREFIX = 'config'
 
-/** The key under which the object API keeps an object. */
+/** Builds the key under which an object is stored. */
 export function buildObjectKey (kind: string, partner: string, name: string): string {
   return `${PREFIX}/${kind}/${partner}/${name}`
 }
 
-/** Takes a key apart; undefined when it is not one of a configuration object. */
+/** Parses a key; returns undefined if it is not the key of a configuration object. */
 export function parseObjectKey (key: string): { kind: string, partner: string, name: string } | undefined {
   const [prefix, kind, partner, ...rest] = key.split('/')
   if (prefix !== PREFIX || !kind || !partner || rest.length !== 1) return undefined
   return { kind, partner, name: rest[0] as string }
 }
 
-/** Urgency of a class for engines that honour priorities; smaller goes first. */
+/** Priority of a service class for engines that support priorities; lower is more urgent. */
 export function getWorkClass (serviceClass: ServiceClass): number {
   return serviceClass === ServiceClasses.LOOKUP ? 0 : 1
 }
--- a/config/objects/src/parseConfigObject.ts
+++ b/config/objects/src/parseConfigObject.ts
@@ -3,7 +3,7 @@
 import type * as z from 'zod'
 import { objectSchema, specSchemas, type ConfigObject } from './schemas.js'
 
-/** Checks a value against its kind's schema; the error names the field. */
+/** Validates a value against the schema of its kind; the error names the field. */
 export function parseConfigObject (value: unknown): Result<ConfigObject, PulleystackError> {
   const outer = objectSchema.safeParse(value)
   if (!outer.success) return err(createSchemaError(outer.error, ''))
@@ -14,9 +14,9 @@
 
 function createSchemaError (error: z.ZodError, prefix: string): PulleystackError {
   const issue = error.issues[0]
-  const inside = issue?.code === 'unrecognized_keys' ? [...issue.path, issue.keys[0]] : issue?.path ?? []
-  const field = `${prefix}${inside.join('.')}`.replace(/\.$/, '')
-  return new PulleystackError('OBJECT_INVALID', `Field "${field}" of the object is wrong: ${issue?.message ?? 'unknown'}`, {
+  const path = issue?.code === 'unrecognized_keys' ? [...issue.path, issue.keys[0]] : issue?.path ?? []
+  const field = `${prefix}${path.join('.')}`.replace(/\.$/, '')
+  return new PulleystackError('OBJECT_INVALID', `Field "${field}" of the object is invalid: ${issue?.message ?? 'unknown'}`, {
     field,
     hint: 'docs/objects.md lists the fields of each kind.',
   })
--- a/config/objects/src/schemas.ts
+++ b/config/objects/src/schemas.ts
@@ -96,7 +96,7 @@
   [Kinds.ROUTE]: routeSchema,
 } as const
 
-/** What is the same in objects of all kinds. */
+/** Fields common to objects of all kinds. */
 export const objectSchema = z.strictObject({
   kind: z.enum(Object.values(Kinds) as [Kind, ...Kind[]]),
   partner: nameSchema,
@@ -141,7 +141,7 @@
   lastApplied?: unknown
 }
 
-/** JSON Schema of a whole object of the kind, for docs/schemas. */
+/** Creates the JSON Schema of an object of the given kind. */
 export function createObjectJsonSchema (kind: Kind): unknown {
   return z.toJSONSchema(objectSchema.extend({ kind: z.literal(kind), spec: specSchemas[kind] }))
 }
