--- a/config/replica/src/ConfigIndex.ts
+++ b/config/replica/src/ConfigIndex.ts
@@ -3,7 +3,7 @@
 
 /** Look-ups over what is in force, rebuilt lazily and only for what changed. */
 export class ConfigIndex {
-  private readonly byKind = new Map<Kind, Map<string, ConfigObject>>()
+  private readonly objectsByKind = new Map<Kind, Map<string, ConfigObject>>()
   private readonly callersByHash = new Map<string, ConfigObject<'Caller'>>()
 
   constructor (private readonly replica: ConfigReplica) {
@@ -15,26 +15,26 @@
   }
 
   findObject<K extends Kind> (kind: K, partner: string, name: string): ConfigObject<K> | undefined {
-    return this.byKind.get(kind)?.get(`${partner}/${name}`) as ConfigObject<K> | undefined
+    return this.objectsByKind.get(kind)?.get(`${partner}/${name}`) as ConfigObject<K> | undefined
   }
 
-  /** Every object of a kind, of one partner or of all. */
+  /** Lists the objects of a kind, of one partner or of all. */
   listObjects<K extends Kind> (kind: K, partner?: string): ConfigObject<K>[] {
-    const all = [...this.byKind.get(kind)?.values() ?? []] as ConfigObject<K>[]
+    const all = [...this.objectsByKind.get(kind)?.values() ?? []] as ConfigObject<K>[]
     return partner === undefined ? all : all.filter((object) => object.partner === partner)
   }
 
-  /** The caller one of whose access keys has this hash. */
+  /** Finds the caller that has an access key with this hash. */
   findCaller (keyHash: string): ConfigObject<'Caller'> | undefined {
     return this.callersByHash.get(keyHash)
   }
 
-  /** The version of a model that requests without a version use. */
+  /** Finds the version of a model that serves requests without a version. */
   findActiveVersion (partner: string, model: string): ConfigObject<'ModelVersion'> | undefined {
     return this.listObjects(Kinds.MODEL_VERSION, partner).find((it) => it.spec.model === model && it.spec.active)
   }
 
-  /** Labels that one partner sees on a backend server: the platform's and its own overlay. */
+  /** Labels of a backend server as one partner sees them: the platform's, overlaid with the partner's own. */
   readServerLabels (partner: string, server: string, platformLabels: Readonly<Record<string, string>>): Record<string, string> {
     const overlays = this.listObjects(Kinds.BACKEND_SERVER_LABELS, partner).filter((it) => it.spec.server === server)
     return Object.assign({}, platformLabels, ...overlays.map((it) => it.spec.serverLabels)) as Record<string, string>
@@ -45,8 +45,8 @@
   }
 
   private addObject (object: ConfigObject): void {
-    const names = this.byKind.get(object.kind) ?? new Map<string, ConfigObject>()
-    this.byKind.set(object.kind, names)
+    const names = this.objectsByKind.get(object.kind) ?? new Map<string, ConfigObject>()
+    this.objectsByKind.set(object.kind, names)
     names.set(`${object.partner}/${object.name}`, object)
     if (object.kind !== Kinds.CALLER) return
     const caller = object as ConfigObject<'Caller'>
@@ -54,7 +54,7 @@
   }
 
   private removeObject (object: ConfigObject): void {
-    this.byKind.get(object.kind)?.delete(`${object.partner}/${object.name}`)
+    this.objectsByKind.get(object.kind)?.delete(`${object.partner}/${object.name}`)
     if (object.kind !== Kinds.CALLER) return
     for (const hash of (object as ConfigObject<'Caller'>).spec.keyHashes) {
       if (this.callersByHash.get(hash)?.name === object.name && this.callersByHash.get(hash)?.partner === object.partner) this.callersByHash.delete(hash)
--- a/config/replica/src/ConfigReplica.ts
+++ b/config/replica/src/ConfigReplica.ts
@@ -4,25 +4,25 @@
 import { Subject, type Observable } from 'rxjs'
 import { BUCKET_COUNT, combineBuckets, getBucket, hashEntry, type BucketSummary, type ReplicaDigest } from './digest.js'
 
-/** What is held of one key, as it goes between peers. */
+/** State of one key, as sent between peers. */
 export interface ReplicaEntry {
   key: string
   /** Newest version seen, accepted or not. */
   version: number
-  /** Raw value of that version; undefined when deleted. */
+  /** Raw value of that version; undefined if it is a deletion. */
   value: unknown
-  /** The version in force, when the newest was not accepted. */
+  /** The effective version, if the newest was rejected. */
   accepted?: { version: number, value: unknown }
 }
 
-/** A version that did not pass; the one before stays in force. */
+/** A version that failed validation; the last accepted one stays effective. */
 export interface Rejection {
   key: string
   version: number
   error: PulleystackError
 }
 
-/** A change of what is in force. */
+/** A change of the effective object of a key. */
 export interface ReplicaChange {
   key: string
   version: number
@@ -30,128 +30,126 @@
   after: ConfigObject | undefined
 }
 
-interface HeldObject {
+interface KeyState {
   entry: ReplicaEntry
-  inForce: ConfigObject | undefined
-  inForceVersion: number
+  effective: ConfigObject | undefined
+  effectiveVersion: number
 }
 
 /**
- * The configuration as one instance knows it. For each key only a higher version than the one held is taken,
- * whatever way it came. Deleted keys are remembered until everything up to their version is known; after that
- * an unknown key of an older version can only be one that was deleted, and is refused.
+ * One instance's replica of the configuration, which accepts only increasing versions of each key. Tombstones are kept until all changes up to
+ * their version are known; after that, an older version of an unknown key must belong to a deleted object and is rejected.
  */
 export class ConfigReplica {
-  private readonly held = new Map<string, HeldObject>()
+  private readonly states = new Map<string, KeyState>()
   private readonly rejections = new Map<string, Rejection>()
   private readonly buckets: number[] = new Array<number>(BUCKET_COUNT).fill(0)
   private readonly changed = new Subject<ReplicaChange>()
   private readonly arrived = new Subject<ReplicaEntry>()
-  private through = 0
+  private completeThrough = 0
   private newest = 0
   private complete = false
 
-  /** Changes of what is in force. */
+  /** Changes of effective objects. */
   get changes (): Observable<ReplicaChange> {
     return this.changed
   }
 
-  /** Every entry that was newer than what was held, to be passed on to peers. */
+  /** Every accepted entry, to be relayed to peers. */
   get arrivals (): Observable<ReplicaEntry> {
     return this.arrived
   }
 
-  /** Version of the newest change that came in any way; for people. */
+  /** Version of the newest change received from any source; for display. */
   get newestVersion (): number {
-    return Math.max(this.newest, this.through)
+    return Math.max(this.newest, this.completeThrough)
   }
 
   /**
-   * Everything up to this version is held, as a listing has shown. A watch alone does not move it: one that leaves
-   * something out must not make others believe that what it missed was deleted.
+   * All changes up to this version are known, from a listing or a peer. A watch does not advance it: after a gap in a watch, peers would take the
+   * missed objects for deleted ones.
    */
   get knownThrough (): number {
-    return this.through
+    return this.completeThrough
   }
 
-  /** True once a whole listing or a whole exchange with a peer was taken in. */
+  /** Whether a full listing or a full exchange with a peer has been applied. */
   get isComplete (): boolean {
     return this.complete
   }
 
-  /** Takes one version of one object; false when something as new is held. */
+  /** Applies one version of an object; returns false if it is not newer than the replica. */
   applyEntry (entry: ReplicaEntry): boolean {
-    return this.takeEntry(entry, this.through)
+    return this.acceptEntry(entry, this.completeThrough)
   }
 
-  /** Takes the changes of a watch. */
   applyBatch (batch: ChangeBatch): void {
     for (const change of batch.changes) this.applyEntry(change)
   }
 
-  /** Takes a whole listing. A key that is held but not listed was deleted, unless it is newer than the listing. */
+  /** Applies a full listing. A known key that is not listed was deleted, unless its version is newer than the listing. */
   applyListing (listing: StoreListing): void {
     const listed = new Set(listing.objects.map((object) => object.key))
-    // A listing as new as all that is known also proves what a watch with a gap has missed.
-    const floor = listing.version >= this.through ? 0 : this.through
-    for (const object of listing.objects) this.takeEntry(object, floor)
-    for (const [key, held] of this.held) {
-      if (listed.has(key) || held.entry.version > listing.version || held.entry.value === undefined) continue
+    // A listing that isn't older than knownThrough may have objects that were missed before.
+    const knownThrough = listing.version >= this.completeThrough ? 0 : this.completeThrough
+    for (const object of listing.objects) this.acceptEntry(object, knownThrough)
+    for (const [key, state] of this.states) {
+      if (listed.has(key) || state.entry.version > listing.version || state.entry.value === undefined) continue
       this.applyEntry({ key, version: listing.version, value: undefined })
     }
     this.advance(listing.version)
   }
 
-  /** Notes that everything up to a version is held, as a listing or a peer with the same content has shown. */
+  /** Records that all changes up to a version are known, from a listing or a peer with the same content. */
   advance (version: number): void {
     this.complete = true
-    if (version <= this.through) return
-    this.through = version
-    for (const [key, held] of this.held) {
-      if (held.entry.value === undefined && held.entry.version <= version) this.dropEntry(key, held)
+    if (version <= this.completeThrough) return
+    this.completeThrough = version
+    for (const [key, state] of this.states) {
+      if (state.entry.value === undefined && state.entry.version <= version) this.dropEntry(key, state)
     }
   }
 
   readDigest (): ReplicaDigest {
-    return { knownThrough: this.through, root: combineBuckets(this.buckets), buckets: [...this.buckets] }
+    return { knownThrough: this.completeThrough, root: combineBuckets(this.buckets), buckets: [...this.buckets] }
   }
 
   listBucket (bucket: number): BucketSummary {
     const entries: BucketSummary['entries'] = []
-    for (const [key, held] of this.held) {
-      if (getBucket(key) === bucket) entries.push([key, held.entry.version])
+    for (const [key, state] of this.states) {
+      if (getBucket(key) === bucket) entries.push([key, state.entry.version])
     }
-    return { bucket, knownThrough: this.through, entries }
+    return { bucket, knownThrough: this.completeThrough, entries }
   }
 
-  /** Takes in a peer's list of one bucket: notes deletions that it proves and gives the keys that the peer has newer. */
+  /** Compares a bucket with a peer's: applies the deletions that it implies and returns the keys of which the peer has newer versions. */
   compareBucket (summary: BucketSummary): string[] {
     const theirs = new Map(summary.entries)
-    for (const [key, held] of this.held) {
-      if (getBucket(key) !== summary.bucket || theirs.has(key) || held.entry.value === undefined) continue
-      if (held.entry.version <= summary.knownThrough) this.applyEntry({ key, version: summary.knownThrough, value: undefined })
+    for (const [key, state] of this.states) {
+      if (getBucket(key) !== summary.bucket || theirs.has(key) || state.entry.value === undefined) continue
+      if (state.entry.version <= summary.knownThrough) this.applyEntry({ key, version: summary.knownThrough, value: undefined })
     }
     return summary.entries.filter(([key, version]) => this.isNewer(key, version)).map(([key]) => key)
   }
 
   readEntries (keys: readonly string[]): ReplicaEntry[] {
-    return keys.flatMap((key) => this.held.get(key)?.entry ?? [])
+    return keys.flatMap((key) => this.states.get(key)?.entry ?? [])
   }
 
-  /** The object in force under a key. */
+  /** Returns the effective object of a key. */
   readObject (key: string): ConfigObject | undefined {
-    return this.held.get(key)?.inForce
+    return this.states.get(key)?.effective
   }
 
-  /** The version in force under a key; 0 when there is none. */
+  /** Returns the effective version of a key; 0 if there is none. */
   readVersion (key: string): number {
-    return this.held.get(key)?.inForceVersion ?? 0
+    return this.states.get(key)?.effectiveVersion ?? 0
   }
 
-  /** Every object in force. */
+  /** Iterates over all effective objects. */
   * listObjects (): Iterable<ConfigObject> {
-    for (const held of this.held.values()) {
-      if (held.inForce) yield held.inForce
+    for (const state of this.states.values()) {
+      if (state.effective) yield state.effective
     }
   }
 
@@ -160,57 +158,57 @@
   }
 
   get size (): number {
-    return this.held.size
+    return this.states.size
   }
 
   private isNewer (key: string, version: number): boolean {
-    const held = this.held.get(key)
-    return held ? version > held.entry.version : version > this.through
+    const current = this.states.get(key)
+    return current ? version > current.entry.version : version > this.completeThrough
   }
 
-  private takeEntry (entry: ReplicaEntry, floor: number): boolean {
+  private acceptEntry (entry: ReplicaEntry, knownThrough: number): boolean {
     if (!parseObjectKey(entry.key)) return false
-    const held = this.held.get(entry.key)
-    if (held && entry.version <= held.entry.version) return false
-    if (!held && entry.version <= floor) return false
+    const current = this.states.get(entry.key)
+    if (current && entry.version <= current.entry.version) return false
+    if (!current && entry.version <= knownThrough) return false
     this.newest = Math.max(this.newest, entry.version)
-    this.storeEntry(entry, held)
-    this.arrived.next(this.held.get(entry.key)?.entry ?? entry)
+    this.storeEntry(entry, current)
+    this.arrived.next(this.states.get(entry.key)?.entry ?? entry)
     return true
   }
 
-  private storeEntry (entry: ReplicaEntry, held: HeldObject | undefined): void {
-    const next = this.admitEntry(entry, held)
-    if (held) this.toggleHash(held.entry)
-    this.held.set(entry.key, next)
+  private storeEntry (entry: ReplicaEntry, current: KeyState | undefined): void {
+    const next = this.admitEntry(entry, current)
+    if (current) this.toggleHash(current.entry)
+    this.states.set(entry.key, next)
     this.toggleHash(next.entry)
-    if (next.inForceVersion === (held?.inForceVersion ?? 0)) return
-    this.changed.next({ key: entry.key, version: next.inForceVersion, before: held?.inForce, after: next.inForce })
+    if (next.effectiveVersion === (current?.effectiveVersion ?? 0)) return
+    this.changed.next({ key: entry.key, version: next.effectiveVersion, before: current?.effective, after: next.effective })
   }
 
-  private admitEntry (entry: ReplicaEntry, held: HeldObject | undefined): HeldObject {
+  private admitEntry (entry: ReplicaEntry, current: KeyState | undefined): KeyState {
     if (entry.value === undefined) return this.admitDeletion(entry)
     const parsed = parseConfigObject(entry.value)
-    const problem = parsed.isErr() ? parsed.error : checkKey(entry.key, parsed.value)
-    if (parsed.isOk() && !problem) {
+    const error = parsed.isErr() ? parsed.error : checkKey(entry.key, parsed.value)
+    if (parsed.isOk() && !error) {
       this.rejections.delete(entry.key)
-      return { entry: { key: entry.key, version: entry.version, value: entry.value }, inForce: parsed.value, inForceVersion: entry.version }
+      return { entry: { key: entry.key, version: entry.version, value: entry.value }, effective: parsed.value, effectiveVersion: entry.version }
     }
-    this.rejections.set(entry.key, { key: entry.key, version: entry.version, error: problem as PulleystackError })
-    return keepAccepted(entry, held)
+    this.rejections.set(entry.key, { key: entry.key, version: entry.version, error: error as PulleystackError })
+    return keepAccepted(entry, current)
   }
 
-  private admitDeletion (entry: ReplicaEntry): HeldObject {
+  private admitDeletion (entry: ReplicaEntry): KeyState {
     this.rejections.delete(entry.key)
-    return { entry: { key: entry.key, version: entry.version, value: undefined }, inForce: undefined, inForceVersion: entry.version }
+    return { entry: { key: entry.key, version: entry.version, value: undefined }, effective: undefined, effectiveVersion: entry.version }
   }
 
-  private dropEntry (key: string, held: HeldObject): void {
-    this.toggleHash(held.entry)
-    this.held.delete(key)
+  private dropEntry (key: string, state: KeyState): void {
+    this.toggleHash(state.entry)
+    this.states.delete(key)
   }
 
-  // Tombstones stay out of the digest: peers forget them at different times.
+  // Tombstones are not part of the digest because replicas drop them at different times.
   private toggleHash (entry: ReplicaEntry): void {
     if (entry.value === undefined) return
     const bucket = getBucket(entry.key)
@@ -221,14 +219,14 @@
 function checkKey (key: string, object: ConfigObject): PulleystackError | undefined {
   const parts = parseObjectKey(key)
   if (parts && parts.kind === object.kind && parts.partner === object.partner && parts.name === object.name) return undefined
-  return new PulleystackError('OBJECT_INVALID', `Object stands under the key ${key}, which belongs to another`, { field: 'name' })
+  return new PulleystackError('OBJECT_INVALID', `Object is stored under the key ${key} of another object`, { field: 'name' })
 }
 
-function keepAccepted (entry: ReplicaEntry, held: HeldObject | undefined): HeldObject {
-  const sent = entry.accepted
-  const parsed = sent && sent.version > (held?.inForceVersion ?? 0) ? parseConfigObject(sent.value) : undefined
-  const inForce = parsed?.isOk() ? parsed.value : held?.inForce
-  const inForceVersion = parsed?.isOk() && sent ? sent.version : held?.inForceVersion ?? 0
-  const accepted = inForce ? { version: inForceVersion, value: inForce } : undefined
-  return { entry: { key: entry.key, version: entry.version, value: entry.value, accepted }, inForce, inForceVersion }
+function keepAccepted (entry: ReplicaEntry, current: KeyState | undefined): KeyState {
+  const received = entry.accepted
+  const parsed = received && received.version > (current?.effectiveVersion ?? 0) ? parseConfigObject(received.value) : undefined
+  const effective = parsed?.isOk() ? parsed.value : current?.effective
+  const effectiveVersion = parsed?.isOk() && received ? received.version : current?.effectiveVersion ?? 0
+  const accepted = effective ? { version: effectiveVersion, value: effective } : undefined
+  return { entry: { key: entry.key, version: entry.version, value: entry.value, accepted }, effective, effectiveVersion }
 }
--- a/config/replica/src/digest.ts
+++ b/config/replica/src/digest.ts
@@ -1,17 +1,17 @@
 import { hashText } from '@pulleystack/core.hashing'
 
-/** Keys are spread over this many buckets, so that a repair only lists what differs. */
+/** Keys are hashed into buckets so that only the buckets that differ are compared by key. */
 export const BUCKET_COUNT = 64
 
-/** Summary of everything a replica holds. */
+/** Digest of a replica's entries. */
 export interface ReplicaDigest {
-  /** Every change up to this version is known. */
+  /** All changes up to this version are known. */
   knownThrough: number
   root: number
   buckets: number[]
 }
 
-/** Keys and versions in one bucket, as of `knownThrough`. */
+/** Keys and versions of one bucket, with all changes up to `knownThrough`. */
 export interface BucketSummary {
   bucket: number
   knownThrough: number
@@ -22,12 +22,12 @@
   return hashText(key) % BUCKET_COUNT
 }
 
-/** Hash of one key at one version; buckets combine them by exclusive or, so that they update in constant time. */
+/** Hash of one key at one version; a bucket is the XOR of its hashes, which allows updates in constant time. */
 export function hashEntry (key: string, version: number): number {
   return hashText(`${key}@${version}`, 7)
 }
 
-/** Combines the buckets to one number that depends on their order. */
+/** Combines the buckets into one order-dependent hash. */
 export function combineBuckets (buckets: readonly number[]): number {
   return buckets.reduce((sum, bucket) => (Math.imul(sum, 31) + bucket) >>> 0, 17)
 }
--- a/config/replica/test/ConfigReplica.test.ts
+++ b/config/replica/test/ConfigReplica.test.ts
@@ -23,7 +23,7 @@
       assert.equal(readTier(replica), 'new')
     })
 
-    it('does not bring a deleted object back when an update overtakes the deletion', () => {
+    it('does not restore a deleted object when an older update arrives after the deletion', () => {
       const replica = new ConfigReplica()
       replica.applyEntry({ key: KEY, version: 4, value: buildValue('old') })
       replica.applyEntry({ key: KEY, version: 6, value: undefined })
@@ -31,7 +31,7 @@
       assert.equal(replica.readObject(KEY), undefined)
     })
 
-    it('does not bring it back after the deletion itself was forgotten', () => {
+    it('does not restore a deleted object after its tombstone was dropped', () => {
       const replica = new ConfigReplica()
       replica.applyEntry({ key: KEY, version: 4, value: buildValue('old') })
       replica.applyEntry({ key: KEY, version: 6, value: undefined })
@@ -42,7 +42,7 @@
     })
   })
 
-  it('shows the newest version that came, whatever way', () => {
+  it('reports the newest version from any source', () => {
     const replica = new ConfigReplica()
     replica.applyListing({ objects: [], version: 3 })
     replica.applyEntry({ key: KEY, version: 7, value: buildValue('relayed') })
@@ -51,28 +51,28 @@
   })
 
   describe('listings', () => {
-    it('keeps what is newer than a listing that comes late', () => {
+    it('keeps objects that are newer than a delayed listing', () => {
       const replica = new ConfigReplica()
       replica.applyEntry({ key: KEY, version: 8, value: buildValue('new') })
       replica.applyListing({ objects: [], version: 7 })
       assert.equal(readTier(replica), 'new')
     })
 
-    it('removes what a newer listing does not have', () => {
+    it('removes objects that are missing in a newer listing', () => {
       const replica = new ConfigReplica()
       replica.applyEntry({ key: KEY, version: 8, value: buildValue('new') })
       replica.applyListing({ objects: [], version: 9 })
       assert.equal(replica.readObject(KEY), undefined)
     })
 
-    it('takes what a watch with a gap had left out', () => {
+    it('applies objects that a watch with a gap missed', () => {
       const replica = new ConfigReplica()
       replica.applyBatch({ changes: [], version: 9 })
       replica.applyListing({ objects: [{ key: KEY, version: 8, value: buildValue('missed') }], version: 9 })
       assert.equal(readTier(replica), 'missed')
     })
 
-    it('takes from a peer what a watch with a gap had left out', () => {
+    it('accepts from a peer an object that a watch with a gap missed', () => {
       const replica = new ConfigReplica()
       replica.applyListing({ objects: [], version: 2 })
       replica.applyBatch({ changes: [], version: 9 })
@@ -80,8 +80,8 @@
     })
   })
 
-  describe('a version that is not accepted', () => {
-    it('leaves the last accepted one in force and says why', () => {
+  describe('a rejected version', () => {
+    it('leaves the last accepted version effective and reports the error', () => {
       const replica = new ConfigReplica()
       replica.applyEntry({ key: KEY, version: 1, value: buildValue('good') })
       replica.applyEntry({ key: KEY, version: 2, value: { ...buildValue('bad'), spec: { keyHashes: [] } } })
@@ -89,7 +89,7 @@
       assert.equal(replica.listRejections()[0]?.error.field, 'spec.keyHashes')
     })
 
-    it('hands the accepted one on to a replica that never saw it', () => {
+    it('relays the accepted version to a replica that never received it', () => {
       const replica = new ConfigReplica()
       replica.applyEntry({ key: KEY, version: 1, value: buildValue('good') })
       replica.applyEntry({ key: KEY, version: 2, value: { kind: 'Caller' } })
@@ -98,7 +98,7 @@
       assert.equal(readTier(other), 'good')
     })
 
-    it('is refused when it stands under another object\'s key', () => {
+    it('is reported if it is stored under another object\'s key', () => {
       const replica = new ConfigReplica()
       replica.applyEntry({ key: buildObjectKey(Kinds.CALLER, 'q', 'c'), version: 1, value: buildValue('foreign') })
       assert.equal(replica.listRejections().length, 1)
