--- a/config/routes/src/Route.ts
+++ b/config/routes/src/Route.ts
@@ -1,74 +1,74 @@
 import type { Team } from './Team.js'
 
-/** How often one request of a route may run. */
+/** Whether a request of a route may run more than once. */
 export const RepeatModes = { REPEATABLE: 'repeatable', ONCE: 'once' } as const
 export type RepeatMode = typeof RepeatModes[keyof typeof RepeatModes]
 
-/** One service that a route sends to, with its share of the requests. */
+/** A service that receives a share of a route's requests. */
 export interface RouteTarget {
   service: string
   /** Relative to the other targets of the route. */
   weight: number
 }
 
-/** A route: which requests it takes and how they are served. */
+/** Which requests a route matches and how they are served. */
 export interface Route {
   name: string
   /** Host without port, lower case. */
   host: string
-  /** Begins and ends with a slash. */
+  /** Starts and ends with a slash. */
   pathPrefix: string
   targets: readonly RouteTarget[]
   repeat: RepeatMode
-  /** Answers with a stream of numbered events. */
+  /** Responses are streams of numbered events. */
   streams: boolean
-  /** A broken stream may go on at another backend server. */
+  /** A broken stream may be resumed at another backend server. */
   resumable: boolean
-  /** Longest time that a request may be held, in milliseconds. */
+  /** Maximum duration of a request, in milliseconds. */
   timeoutMs: number
-  /** Time within which an answer is of full use; for streams, to the first event. */
+  /** Target time to the complete response, or to the first event of a stream, in milliseconds. */
   targetLatencyMs: number
-  /** Longest pause between events that still is of full use; undefined for plain answers. */
+  /** Maximum acceptable pause between events, in milliseconds; undefined for plain responses. */
   longestPauseMs: number | undefined
-  /** Milliseconds after which clients give a stream up of which nothing comes, whatever their deadline; undefined when only the deadline counts. */
+  /** Milliseconds after which clients abort a stream without events, regardless of their deadline; undefined if only the deadline applies. */
   patienceMs?: number
   /** 0 is the most urgent. */
   priority: number
-  /** Greatest number of backend servers on which one request may run. */
+  /** Maximum number of backend servers on which one request may run. */
   maxAttempts: number
-  /** Its requests need no access key, also where teams are named; false when left out. */
+  /** Requests need no access key even if teams are configured; defaults to false. */
   isPublic?: boolean
 }
 
-/** A model that backend servers of a service can hold. */
+/** A model that backend servers of a service can load. */
 export interface ServedModel {
   name: string
   /** Megabytes of accelerator memory. */
   weightsMb: number
   adapterMb: number
-  /** Number of adapters that the model has. */
+  /** Number of adapters of the model. */
   adapters: number
-  /** Seconds to load from the weight store, from the server's disk and from its host memory. */
+  /** Seconds to load from the weight store, from the server's disk (`diskSeconds`) and from its host memory (`memorySeconds`). */
   loadSeconds: number
   diskSeconds: number
   memorySeconds: number
 }
 
-/** What is the same in all model servers of a service. */
+/** Properties common to all model servers of a service. */
 export interface ModelServing {
-  /** Requests in one batch. */
+  /** Maximum number of requests in one batch. */
   batchSlots: number
-  /** Tokens of KV cache. */
+  /** Capacity of the KV cache in tokens. */
   cacheTokens: number
   /** Megabytes of accelerator memory for weights and adapters. */
   weightsMb: number
   adapterSlots: number
-  /** Loads from the weight store that all servers together may begin in a second. */
+  /** Loads from the weight store that all servers together may start per second. */
   loadsPerSecond: number
   models: readonly ServedModel[]
 }
 
-/** A service behind routes. */
+/** A service to which routes send requests. */
 export interface RoutedService {
   name: string
   /** Connections that one backend server accepts from all instances together. */
@@ -77,7 +77,7 @@
   serving: ModelServing | undefined
 }
 
-/** Bounds on what one client connection may send or take. */
+/** Limits of one client connection. */
 export interface ClientLimits {
   headerBytes: number
   bodyBytes: number
@@ -85,13 +85,13 @@
   idleTimeoutMs: number
 }
 
-/** Everything that routed requests need, as of one version. */
+/** One version of the configuration of routes, services and teams. */
 export interface RoutingConfig {
-  /** Rises with each change, in uneven steps. */
+  /** Increases with each change, not necessarily by one. */
   version: number
   routes: readonly Route[]
   services: readonly RoutedService[]
-  /** Teams whose keys callers have to show; undefined where none is asked for. */
+  /** Teams whose access keys callers must present; undefined if no key is required. */
   teams?: readonly Team[]
   limits: ClientLimits
 }
--- a/config/routes/src/RouteTable.ts
+++ b/config/routes/src/RouteTable.ts
@@ -3,11 +3,11 @@
 import type { Route, RoutedService, RoutingConfig } from './Route.js'
 import type { Team } from './Team.js'
 
-/** The routes and services of one version of the configuration, ready to be looked up. */
+/** Finds routes, services and teams in one version of the configuration. */
 export class RouteTable {
   private readonly routesByHost = new Map<string, Route[]>()
   private readonly services = new Map<string, RoutedService>()
-  /** By the hash of each key, so that the time of a lookup tells nothing of a key. */
+  /** Indexed by hash, so that the time of a lookup reveals nothing about a key. */
   private readonly teamsByKeyHash = new Map<string, Team>()
   private readonly teams = new Map<string, Team>()
 
@@ -25,13 +25,13 @@
     }
   }
 
-  /** The route whose prefix is the longest that begins the path; `host` may carry a port. */
+  /** Finds the route with the longest matching path prefix; `host` may include a port. */
   findRoute (host: string, path: string): Route | undefined {
     const routes = this.routesByHost.get(stripPort(host).toLowerCase())
     return routes?.find((route) => path.startsWith(route.pathPrefix))
   }
 
-  /** Whether callers have to show a team's access key. */
+  /** Whether callers must present a team's access key. */
   get hasTeams (): boolean {
     return this.config.teams !== undefined
   }
@@ -40,7 +40,6 @@
     return this.teams.get(name)
   }
 
-  /** The team that has this access key. */
   findTeamByKey (key: string): Team | undefined {
     return this.teamsByKeyHash.get(hashAccessKey(key))
   }
@@ -50,15 +49,15 @@
   }
 }
 
-/** Chooses the service of one request by the weights of the route's targets. */
+/** Chooses the service for a request at random, by the weights of the route's targets. */
 export function chooseTarget (route: Route, random: RandomSource): string {
-  const [only] = route.targets
-  if (route.targets.length === 1 && only) return only.service
+  const [single] = route.targets
+  if (route.targets.length === 1 && single) return single.service
   const total = route.targets.reduce((sum, target) => sum + target.weight, 0)
-  let rest = random.readFraction() * total
+  let remaining = random.readFraction() * total
   for (const target of route.targets) {
-    rest -= target.weight
-    if (rest < 0) return target.service
+    remaining -= target.weight
+    if (remaining < 0) return target.service
   }
   return route.targets.at(-1)?.service ?? ''
 }
--- a/config/routes/src/Team.ts
+++ b/config/routes/src/Team.ts
@@ -1,30 +1,29 @@
-/** What a team's quota counts. */
+/** Unit of a team's quota. */
 export const QuotaUnits = { REQUESTS: 'requests', TOKENS: 'tokens' } as const
 export type QuotaUnit = typeof QuotaUnits[keyof typeof QuotaUnits]
 
-/** How much a team may ask for, over all instances together. */
+/** Rate limit of a team over all instances. */
 export interface TeamQuota {
   unit: QuotaUnit
-  /** Units a second. */
   ratePerSecond: number
-  /** Units beside those, after a pause. */
+  /** Units that may be used in addition at once, after a pause. */
   burst: number
-  /** What a request that names no tokens counts, where tokens are counted. */
+  /** Tokens counted for a request that doesn't state a number of tokens. */
   plainTokens: number
 }
 
-/** A team whose callers show one of its access keys. */
+/** A team, whose callers present one of its access keys. */
 export interface Team {
   name: string
-  /** SHA-256 of each key, in hexadecimal; the keys themselves are not kept. */
+  /** SHA-256 of each key, in hexadecimal; the keys themselves are not stored. */
   keyHashes: readonly string[]
-  /** Goes before the priority of a route; undefined where the route's counts. */
+  /** Overrides the priority of a route; undefined to use the route's. */
   priority: number | undefined
-  /** Undefined for a team without limit. */
+  /** Undefined for a team without a limit. */
   quota: TeamQuota | undefined
 }
 
-/** What one request counts toward its team's quota; `tokens` is undefined for a request that names none. */
+/** Units that a request counts towards its team's quota; `tokens` is undefined if the request doesn't state a number of tokens. */
 export function countUnits (quota: TeamQuota, tokens: number | undefined): number {
   if (quota.unit === QuotaUnits.REQUESTS) return 1
   return tokens ?? quota.plainTokens
--- a/config/routes/test/RouteTable.test.ts
+++ b/config/routes/test/RouteTable.test.ts
@@ -26,26 +26,26 @@
   return new RouteTable({ version: 1, routes, services: [], teams, limits: { headerBytes: 1, bodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 } })
 }
 
-describe('a route table', () => {
+describe('RouteTable', () => {
   const short = createRoute({ name: 'short', pathPrefix: '/a/' })
   const long = createRoute({ name: 'long', pathPrefix: '/a/b/' })
   const table = createTable([short, long])
 
-  it('gives the route with the longest prefix', () => {
+  it('finds the route with the longest prefix', () => {
     assert.equal(table.findRoute('a.example', '/a/b/c')?.name, 'long')
     assert.equal(table.findRoute('a.example', '/a/bc')?.name, 'short')
   })
 
-  it('passes over the port and the case of the host', () => {
+  it('ignores the port and the case of the host', () => {
     assert.equal(table.findRoute('A.Example:8080', '/a/x')?.name, 'short')
   })
 
-  it('gives nothing for another host or path', () => {
+  it('finds nothing for another host or path', () => {
     assert.equal(table.findRoute('b.example', '/a/x'), undefined)
     assert.equal(table.findRoute('a.example', '/ab'), undefined)
   })
 
-  it('finds a team by any of its keys, and keeps none of them', () => {
+  it('finds a team by any of its keys and stores none of them', () => {
     const keyed = createTable([], [{ name: 'valuers', keyHashes: ['k-1', 'k-2'].map(hashAccessKey), priority: 1, quota: undefined }])
     assert.equal(keyed.findTeamByKey('k-2')?.name, 'valuers')
     assert.equal(keyed.findTeamByKey('k-3'), undefined)
@@ -53,7 +53,7 @@
     assert.doesNotMatch(JSON.stringify(keyed.config), /k-[12]/)
   })
 
-  it('asks for keys only where teams are named', () => {
+  it('requires keys only if teams are configured', () => {
     assert.equal(table.hasTeams, false)
     assert.equal(createTable([], []).hasTeams, true)
   })
