--- a/config/settings/src/parseSettings.ts
+++ b/config/settings/src/parseSettings.ts
@@ -9,8 +9,8 @@
 type Environment = Readonly<Record<string, string | undefined>>
 type JsonMap = Record<string, unknown>
 
-/** Environment variables that go before the file, and the field each sets. */
-const OVERRIDES: Readonly<Record<string, readonly string[]>> = {
+/** Environment variables that override the file, and the path of the field that each sets. */
+const ENVIRONMENT_OVERRIDES: Readonly<Record<string, readonly string[]>> = {
   PULLEYSTACK_INSTANCE: ['instance'],
   PULLEYSTACK_REGION: ['region'],
   PULLEYSTACK_DATA_HALL: ['dataHall'],
@@ -22,7 +22,7 @@
   PULLEYSTACK_LOG: ['log'],
 }
 
-/** Reads and checks a settings file. */
+/** Reads and validates a settings file. */
 export async function readSettingsFile (file: string, environment: Environment): Promise<Result<Settings, PulleystackError>> {
   try {
     return parseSettings(await readFile(file, 'utf8'), environment)
@@ -31,7 +31,7 @@
   }
 }
 
-/** Reads and checks a policy file. */
+/** Reads and validates a policy file. */
 export async function readPolicyFile (file: string): Promise<Result<Policy, PulleystackError>> {
   try {
     return parsePolicy(await readFile(file, 'utf8'))
@@ -40,27 +40,27 @@
   }
 }
 
-/** Checks the text of a policy file; what it leaves out is on. */
+/** Validates the text of a policy file; missing keys get their defaults. */
 export function parsePolicy (text: string): Result<Policy, PulleystackError> {
-  const hint = `It is one of ${Object.keys(policySchema.shape).join(', ')}, each true or false.`
+  const hint = `Allowed keys are ${Object.keys(policySchema.shape).join(', ')}, each true or false.`
   return parseObject(text).andThen((value) => checkValue(policySchema, value, hint))
 }
 
-/** Checks the text of a settings file; the error names the field, its value and what is allowed. */
+/** Validates the text of a settings file; the error names the field, its value and what is allowed. */
 export function parseSettings (text: string, environment: Environment = {}): Result<Settings, PulleystackError> {
-  const hint = 'examples/settings.jsonc shows every setting with what it takes.'
+  const hint = 'examples/settings.jsonc shows every setting with its allowed values.'
   return parseObject(text).andThen((value) => checkValue(settingsSchema, applyOverrides(value, environment), hint))
 }
 
 function parseObject (text: string): Result<JsonMap, PulleystackError> {
-  const problems: ParseError[] = []
-  const value: unknown = parse(text, problems, { allowTrailingComma: true })
-  const problem = problems[0]
-  if (problem) {
-    const line = text.slice(0, problem.offset).split('\n').length
-    return err(new PulleystackError('SETTINGS_UNREADABLE', `Settings are not JSON with comments: ${printParseErrorCode(problem.error)} in line ${line}`))
+  const errors: ParseError[] = []
+  const value: unknown = parse(text, errors, { allowTrailingComma: true })
+  const error = errors[0]
+  if (error) {
+    const line = text.slice(0, error.offset).split('\n').length
+    return err(new PulleystackError('SETTINGS_UNREADABLE', `Settings are not valid JSON with comments: ${printParseErrorCode(error.error)} in line ${line}`))
   }
-  if (typeof value !== 'object' || value === null) return err(new PulleystackError('SETTINGS_UNREADABLE', 'Settings must be one JSON object'))
+  if (typeof value !== 'object' || value === null) return err(new PulleystackError('SETTINGS_UNREADABLE', 'Settings must be a JSON object'))
   return ok(value as JsonMap)
 }
 
@@ -70,8 +70,8 @@
   const issue = checked.error.issues[0]
   const path = issue?.code === 'unrecognized_keys' ? [...issue.path, issue.keys[0] as string] : issue?.path ?? []
   const field = path.join('.')
-  const shown = JSON.stringify(readPath(value, path)) ?? 'absent'
-  return err(new PulleystackError('SETTING_INVALID', `Setting "${field}" has the value ${shown}: ${issue?.message ?? 'not allowed'}`, {
+  const actual = JSON.stringify(readPath(value, path)) ?? 'absent'
+  return err(new PulleystackError('SETTING_INVALID', `Setting "${field}" has the value ${actual}: ${issue?.message ?? 'not allowed'}`, {
     field,
     hint,
   }))
@@ -79,7 +79,7 @@
 
 function applyOverrides (value: JsonMap, environment: Environment): JsonMap {
   const changed = structuredClone(value)
-  for (const [name, path] of Object.entries(OVERRIDES)) {
+  for (const [name, path] of Object.entries(ENVIRONMENT_OVERRIDES)) {
     const text = environment[name]
     if (text !== undefined && text !== '') setPath(changed, path, text)
   }
--- a/config/settings/src/policySchema.ts
+++ b/config/settings/src/policySchema.ts
@@ -1,35 +1,34 @@
 import * as z from 'zod'
 
 /**
- * Mechanisms that decide where requests run and which models sit where. Each can be switched off, to its plain alternative, so that what it is worth
- * can be measured and a suspicion during an incident can be tried out. One that gains at some deployments and loses at others is off unless chosen.
+ * Features that decide where requests run and where models are loaded. Each can be switched off in favour of a simpler alternative; one that does
+ * not help every deployment is off by default.
  */
 export const policySchema = z.strictObject({
   waitEstimate: z.boolean().default(true)
-    .describe('Refuse a request as soon as no place or weights can be expected before its client leaves. Off: it waits until then.'),
+    .describe('Reject a request as soon as no slot or weights are expected to be available before its client times out. Off: it waits until then.'),
   timelyFirst: z.boolean().default(true)
-    .describe('Give the next place to those who can still be in time, the earliest due first, before those who are late. Off: to the first that came.'),
+    .describe('Give the next slot to requests within their latency target, earliest due first, before overdue ones. Off: first come, first served.'),
   patienceBound: z.boolean().default(true)
-    .describe('No wait outlasts the time after which clients give a silent stream up. Off: only the deadline bounds it.'),
+    .describe('Limit waits to the time after which clients abort a stream without events. Off: only the deadline limits them.'),
   pacedReading: z.boolean().default(true)
-    .describe('Hold prompts back for moments while a server reads so many that its streams would pause. Off: send them as they come.'),
+    .describe('Delay prompts briefly while a server processes so many that its streams would pause. Off: send them immediately.'),
   learnedReading: z.boolean().default(false)
-    .describe('Let a server whose streams paused for too long read fewer prompts at a time; off unless chosen. Off: all servers read as much.'),
+    .describe('Send fewer prompts at a time to a server whose streams paused for too long; off by default. Off: the same limit for all servers.'),
   prefixAffinity: z.boolean().default(true)
-    .describe('Prefer servers that have read the beginning of the prompt. Off: every prompt counts as unread.'),
+    .describe('Prefer servers that have processed the beginning of the prompt. Off: every prompt counts as new.'),
   failureAvoidance: z.boolean().default(true)
-    .describe('Leave out servers that fail clearly more often than their like. Off: only consecutive failures take a server out.'),
+    .describe('Avoid servers that fail clearly more often than similar ones. Off: only consecutive failures exclude a server.'),
   demandTrend: z.boolean().default(true)
-    .describe('Plan loads for a rise or fall of demand to go on. Off: for the mean of the last seconds.'),
+    .describe('Plan loads for the continued trend of demand. Off: for the mean of the last seconds.'),
   waitForDisk: z.boolean().default(true)
-    .describe('Wait for a busy server that has the model in memory or on disk. Off: load from the weight store at a free server.'),
+    .describe('Wait for a busy server that has the model in memory or on disk. Off: load from the weight store on an idle server.'),
   pooledQuotas: z.boolean().default(true)
-    .describe('Each request asks the one instance that keeps the quota of its team. Off: every instance counts what the others tell of a moment ago.'),
+    .describe('Each request checks its team\'s quota at the one instance that owns it. Off: every instance uses slightly delayed counts from the others.'),
   ordersInOutage: z.boolean().default(true)
-    .describe('The holder of the lease orders on while all instances have lost the store. Off: it stops when the lease runs out.'),
+    .describe('The holder of the lease continues to issue orders while no instance can reach the store. Off: it stops when the lease expires.'),
 })
 
 export type Policy = z.infer<typeof policySchema>
 
-/** What is in force when nothing is chosen. */
 export const DEFAULT_POLICY: Policy = Object.freeze(policySchema.parse({}))
--- a/config/settings/src/settingsSchema.ts
+++ b/config/settings/src/settingsSchema.ts
@@ -1,7 +1,7 @@
 import * as z from 'zod'
 
 const ADDRESS = /^[0-9a-fA-F.:[\]]+:\d{1,5}$/
-const addressSchema = z.string().regex(ADDRESS, 'must be an IP number and a port, as 127.0.0.1:8080')
+const addressSchema = z.string().regex(ADDRESS, 'must be an IP address and a port, such as 127.0.0.1:8080')
 const hashSchema = z.string().regex(/^[0-9a-f]{64}$/, 'must be the SHA-256 of the key in hexadecimal')
 
 const operatorSchema = z.strictObject({
@@ -16,8 +16,8 @@
   region: z.string().min(1).max(63).default('default'),
   dataHall: z.string().min(1).max(63),
   listen: z.strictObject({
-    callers: addressSchema.describe('Where callers and operators connect.'),
-    peers: addressSchema.describe('Where other entry instances connect.'),
+    callers: addressSchema.describe('Address for callers and operators.'),
+    peers: addressSchema.describe('Address for other entry instances.'),
   }),
   platform: z.strictObject({
     objectApi: addressSchema,
@@ -28,7 +28,7 @@
     authority: z.string(),
     certificate: z.string(),
     key: z.string(),
-  }).optional().describe('Files of the peers\' certificates; absent: plain connections, on loopback only.'),
+  }).optional().describe('Certificate files for connections between peers; absent: plain connections, on loopback only.'),
   peerKeyFile: z.string().optional().describe('File with the secret that peers share; absent: peers on loopback only.'),
   callerTls: z.strictObject({ certificate: z.string(), key: z.string() }).optional().describe('Serve callers over TLS.'),
   operators: z.array(operatorSchema).max(200).default([]),
@@ -46,7 +46,7 @@
   claims: z.strictObject({
     shards: z.number().int().min(1).max(1024).default(4),
     keepSeconds: z.number().int().min(10).max(604_800).default(3_600),
-    writesPerSecond: z.number().min(1).max(1000).default(40).describe('Writes to the object API that claims of the whole system may take.'),
+    writesPerSecond: z.number().min(1).max(1000).default(40).describe('Limit of writes to the object API for claims, over all instances.'),
   }).prefault({}),
   placement: z.strictObject({
     leaseMs: z.number().int().min(500).max(120_000).default(9_000),
