--- a/config/sync/src/startConfigSync.ts
+++ b/config/sync/src/startConfigSync.ts
@@ -16,7 +16,7 @@
 const WATCHERS_PER_REGION = 2
 const ENTRIES_PER_CALL = 500
 const PREFIX = 'config/'
-// The time between listings grows with their size, so that they cost the same however many objects there are.
+// The interval between listings grows with their size, which limits their cost.
 const RELIST_MS_PER_OBJECT = 20
 const MIN_RELIST_MS = 10_000
 
@@ -30,19 +30,19 @@
   digestMs: number
 }
 
-/** Follows the configuration until the signal ends. */
+/** Keeps the replica up to date until the signal aborts. */
 export function startConfigSync (opts: ConfigSyncOptions, signal: AbortSignal): void {
   const { replica, network } = opts
   answerPeers(opts)
   const subscriptions = [
-    // What comes before the replica is whole is known to the peers it came from.
+    // Entries that arrive before the replica is complete come from peers and need no relay.
     replica.arrivals.pipe(filter(() => replica.isComplete)).subscribe((entry) => network.broadcast(RELAY, [entry])),
     network.receive(RELAY).subscribe(({ body }) => body.forEach((entry) => replica.applyEntry(entry))),
-    network.receive(DIGEST).subscribe(({ from, body }) => void repairFrom(opts, from, body)),
+    network.receive(DIGEST).subscribe(({ from, body }) => void handleDigest(opts, from, body)),
   ]
   signal.addEventListener('abort', () => subscriptions.forEach((it) => it.unsubscribe()))
-  void keepWatching(opts, signal)
-  void keepComparing(opts, signal)
+  void runWatcher(opts, signal)
+  void sendDigests(opts, signal)
 }
 
 function answerPeers (opts: ConfigSyncOptions): void {
@@ -52,14 +52,14 @@
   network.handleCalls(ENTRIES, (_, keys) => replica.readEntries(keys.slice(0, ENTRIES_PER_CALL)))
 }
 
-/** Watches the object API while this instance is one of its region's watchers. */
-async function keepWatching (opts: ConfigSyncOptions, signal: AbortSignal): Promise<void> {
+/** Watches the store while this instance is one of its region's watchers. */
+async function runWatcher (opts: ConfigSyncOptions, signal: AbortSignal): Promise<void> {
   let subscription: Subscription | undefined
   signal.addEventListener('abort', () => subscription?.unsubscribe())
   while (!signal.aborted) {
-    const wanted = isWatcher(opts)
-    if (wanted && !subscription) subscription = followStore(opts)
-    if (!wanted && subscription) {
+    const shouldWatch = isWatcher(opts)
+    if (shouldWatch && !subscription) subscription = watchStore(opts)
+    if (!shouldWatch && subscription) {
       subscription.unsubscribe()
       subscription = undefined
     }
@@ -67,9 +67,9 @@
   }
 }
 
-function followStore (opts: ConfigSyncOptions): Subscription {
-  const items = watchObjects({ ...opts, prefix: PREFIX, getRelistMs: () => getRelistMs(opts.replica) })
-  return items.subscribe((item) => takeItem(opts.replica, item))
+function watchStore (opts: ConfigSyncOptions): Subscription {
+  const items = watchObjects({ ...opts, prefix: PREFIX, getRelistMs: () => computeRelistMs(opts.replica) })
+  return items.subscribe((item) => applyItem(opts.replica, item))
 }
 
 function isWatcher (opts: ConfigSyncOptions): boolean {
@@ -79,41 +79,41 @@
   return watchers.some((member) => member.instance === view.self.instance)
 }
 
-function getRelistMs (replica: ConfigReplica): number {
+function computeRelistMs (replica: ConfigReplica): number {
   return Math.max(MIN_RELIST_MS, replica.size * RELIST_MS_PER_OBJECT)
 }
 
-function takeItem (replica: ConfigReplica, item: WatchItem): void {
+function applyItem (replica: ConfigReplica, item: WatchItem): void {
   if ('listing' in item) replica.applyListing(item.listing)
   else if ('batch' in item) replica.applyBatch(item.batch)
 }
 
-/** Tells one random neighbour at a time how far this replica is. */
-async function keepComparing (opts: ConfigSyncOptions, signal: AbortSignal): Promise<void> {
+/** Sends the replica's digest to one random peer at each interval. */
+async function sendDigests (opts: ConfigSyncOptions, signal: AbortSignal): Promise<void> {
   while (!signal.aborted) {
     const linked = opts.network.listLinked()
     const { knownThrough, root } = opts.replica.readDigest()
     if (linked.length > 0) opts.network.send(opts.random.pickOne(linked), DIGEST, { knownThrough, root, complete: opts.replica.isComplete })
-    // One that holds nothing yet asks at once, so that it can serve while the object API is down.
-    if (!opts.replica.isComplete) await fillFirst(opts, linked)
+    // An incomplete replica pulls from all peers at once, so that the instance can start while the store is down.
+    if (!opts.replica.isComplete) await loadInitial(opts, linked)
     await opts.clock.wait(opts.replica.isComplete ? opts.digestMs : opts.digestMs / 8, signal)
   }
 }
 
-async function fillFirst (opts: ConfigSyncOptions, linked: readonly string[]): Promise<void> {
+async function loadInitial (opts: ConfigSyncOptions, linked: readonly string[]): Promise<void> {
   await Promise.all(linked.map((peer) => pullFrom(opts, peer)))
   if (opts.replica.isComplete) return
   const listing = await opts.store.listObjects(PREFIX)
   if (listing.isOk()) opts.replica.applyListing(listing.value)
 }
 
-async function repairFrom (opts: ConfigSyncOptions, peer: string, theirs: { knownThrough: number, root: number, complete: boolean }): Promise<void> {
-  const ours = opts.replica.readDigest()
-  if (theirs.root !== ours.root || !opts.replica.isComplete) await pullFrom(opts, peer)
-  else if (theirs.complete) opts.replica.advance(theirs.knownThrough)
+async function handleDigest (opts: ConfigSyncOptions, peer: string, peerDigest: { knownThrough: number, root: number, complete: boolean }): Promise<void> {
+  const ownDigest = opts.replica.readDigest()
+  if (peerDigest.root !== ownDigest.root || !opts.replica.isComplete) await pullFrom(opts, peer)
+  else if (peerDigest.complete) opts.replica.advance(peerDigest.knownThrough)
 }
 
-/** Takes over what a peer has newer, bucket by bucket, and then what the peer knows to be all. */
+/** Pulls a peer's newer entries from the buckets that differ, then advances to the peer's known version if all were received. */
 async function pullFrom (opts: ConfigSyncOptions, peer: string): Promise<void> {
   const { replica, network } = opts
   const digest = await network.call(peer, FULL_DIGEST, null, CALL_TIMEOUT_MS)
@@ -121,9 +121,9 @@
   const different = listDifferentBuckets(replica.readDigest().buckets, digest.value.buckets)
   const summaries = await network.call(peer, BUCKETS, different, CALL_TIMEOUT_MS)
   if (summaries.isErr()) return
-  const wanted = summaries.value.flatMap((summary) => replica.compareBucket(summary))
-  const whole = await pullEntries(opts, peer, wanted)
-  if (whole) replica.advance(digest.value.knownThrough)
+  const newerKeys = summaries.value.flatMap((summary) => replica.compareBucket(summary))
+  const hasAllEntries = await pullEntries(opts, peer, newerKeys)
+  if (hasAllEntries) replica.advance(digest.value.knownThrough)
 }
 
 async function pullEntries (opts: ConfigSyncOptions, peer: string, wanted: string[]): Promise<boolean> {
--- a/config/sync/test/startConfigSync.test.ts
+++ b/config/sync/test/startConfigSync.test.ts
@@ -21,13 +21,13 @@
   abort: AbortController
 }
 
-/** Instances that follow one store; every version that each of them has in force is recorded. */
-class Bench {
+/** Instances that follow one store; records every version that goes back on an instance. */
+class SyncCluster {
   readonly clock = new ManualClock()
   readonly store = new MemoryObjectStore({ clock: this.clock })
   readonly hub = new FakeHub({ clock: this.clock, random: new RandomSource(11) })
   readonly nodes = new Map<string, Node>()
-  reverted: string[] = []
+  reversions: string[] = []
   private writes = 0
 
   start (name: string): Node {
@@ -75,7 +75,7 @@
   private recordVersions (node: Node): void {
     const highest = new Map<string, number>()
     node.replica.changes.subscribe((change) => {
-      if (change.version < (highest.get(change.key) ?? 0)) this.reverted.push(`${node.name}: ${change.key} went back to ${change.version}`)
+      if (change.version < (highest.get(change.key) ?? 0)) this.reversions.push(`${node.name}: ${change.key} went back to ${change.version}`)
       highest.set(change.key, change.version)
     })
   }
@@ -100,78 +100,78 @@
 
 type Step = typeof step extends fc.Arbitrary<infer T> ? T : never
 
-async function takeStep (bench: Bench, it: Step): Promise<void> {
-  if (it.do === 'write') await bench.write(it.i)
-  else if (it.do === 'remove') await bench.remove(it.i)
-  else if (it.do === 'stop') bench.stop(it.node)
+async function runStep (cluster: SyncCluster, it: Step): Promise<void> {
+  if (it.do === 'write') await cluster.write(it.i)
+  else if (it.do === 'remove') await cluster.remove(it.i)
+  else if (it.do === 'stop') cluster.stop(it.node)
   else if (it.do === 'restart') {
-    bench.stop(it.node)
-    bench.start(it.node)
-  } else if (it.do === 'cut') bench.hub.cut(it.a, it.b)
-  else if (it.do === 'heal') bench.hub.healAll()
-  else if (it.do === 'network') Object.assign(bench.hub, { lossShare: it.loss, repeatShare: it.repeat, maxDelayMs: it.delay })
-  else if (it.do === 'storeDown') bench.store.faults.down = it.down
-  else if (it.do === 'compact') bench.store.compact()
-  else Object.assign(bench.store.faults, { gapEvery: it.gapEvery, reorder: it.reorder })
+    cluster.stop(it.node)
+    cluster.start(it.node)
+  } else if (it.do === 'cut') cluster.hub.cut(it.a, it.b)
+  else if (it.do === 'heal') cluster.hub.healAll()
+  else if (it.do === 'network') Object.assign(cluster.hub, { lossShare: it.loss, repeatShare: it.repeat, maxDelayMs: it.delay })
+  else if (it.do === 'storeDown') cluster.store.faults.down = it.down
+  else if (it.do === 'compact') cluster.store.compact()
+  else Object.assign(cluster.store.faults, { gapEvery: it.gapEvery, reorder: it.reorder })
 }
 
 describe('startConfigSync', () => {
-  it('brings a change to every instance at once when nothing fails', async () => {
-    const bench = new Bench()
-    NAMES.forEach((name) => bench.start(name))
-    await bench.clock.advance(2_000)
-    await bench.write(1)
-    await bench.clock.advance(300)
-    const truth = await bench.readTruth()
-    for (const node of bench.nodes.values()) assert.equal(bench.describeNode(node), truth)
+  it('brings a change to every instance within 300 ms when nothing fails', async () => {
+    const cluster = new SyncCluster()
+    NAMES.forEach((name) => cluster.start(name))
+    await cluster.clock.advance(2_000)
+    await cluster.write(1)
+    await cluster.clock.advance(300)
+    const truth = await cluster.readTruth()
+    for (const node of cluster.nodes.values()) assert.equal(cluster.describeNode(node), truth)
   })
 
-  it('gives a new instance its configuration from peers while the object API is down', async () => {
-    const bench = new Bench()
-    NAMES.slice(0, 3).forEach((name) => bench.start(name))
-    await bench.write(0)
-    await bench.clock.advance(3_000)
-    bench.store.faults.down = true
-    const fresh = bench.start('e')
-    await bench.clock.advance(2_000)
+  it('loads the configuration of a new instance from peers while the store is down', async () => {
+    const cluster = new SyncCluster()
+    NAMES.slice(0, 3).forEach((name) => cluster.start(name))
+    await cluster.write(0)
+    await cluster.clock.advance(3_000)
+    cluster.store.faults.down = true
+    const fresh = cluster.start('e')
+    await cluster.clock.advance(2_000)
     assert.equal(fresh.replica.isComplete, true)
-    assert.equal(bench.describeNode(fresh), bench.describeNode(bench.nodes.get('a') as Node))
+    assert.equal(cluster.describeNode(fresh), cluster.describeNode(cluster.nodes.get('a') as Node))
   })
 
-  it('is not ready while it has neither the object API nor a peer that is', async () => {
-    const bench = new Bench()
-    bench.store.faults.down = true
-    const nodes = ['a', 'b'].map((name) => bench.start(name))
-    await bench.clock.advance(10_000)
+  it('is not complete without the store or a complete peer', async () => {
+    const cluster = new SyncCluster()
+    cluster.store.faults.down = true
+    const nodes = ['a', 'b'].map((name) => cluster.start(name))
+    await cluster.clock.advance(10_000)
     assert.deepEqual(nodes.map((node) => node.replica.isComplete), [false, false])
   })
 
-  it('keeps few watchers however many instances there are', async () => {
-    const bench = new Bench()
-    NAMES.forEach((name) => bench.start(name))
-    await bench.clock.advance(60_000)
-    assert.ok(bench.store.counts.watches <= 2 * 4, `${bench.store.counts.watches} watch calls in a minute`)
+  it('limits the number of watchers', async () => {
+    const cluster = new SyncCluster()
+    NAMES.forEach((name) => cluster.start(name))
+    await cluster.clock.advance(60_000)
+    assert.ok(cluster.store.counts.watches <= 2 * 4, `${cluster.store.counts.watches} watch calls in a minute`)
   })
 
-  it('converges after any faults and never reverts during them', async () => {
+  it('converges after any faults and never goes back to an older version', async () => {
     const steps = fc.array(fc.tuple(step, fc.constantFrom(0, 50, 400, 2_000)), { minLength: 5, maxLength: 30 })
     await checkProperty([steps], async (list) => {
-      const bench = new Bench()
-      NAMES.forEach((name) => bench.start(name))
+      const cluster = new SyncCluster()
+      NAMES.forEach((name) => cluster.start(name))
       for (const [it, waitMs] of list) {
-        await takeStep(bench, it)
-        await bench.clock.advance(waitMs)
+        await runStep(cluster, it)
+        await cluster.clock.advance(waitMs)
       }
-      Object.assign(bench.hub, { lossShare: 0, repeatShare: 0, maxDelayMs: 5 })
-      bench.hub.healAll()
-      Object.assign(bench.store.faults, { down: false, gapEvery: 0, reorder: false })
-      NAMES.filter((name) => !bench.nodes.has(name)).forEach((name) => bench.start(name))
-      // What no watch has brought comes with the next listing.
-      await bench.clock.advance(45_000)
-      const truth = await bench.readTruth()
-      for (const node of bench.nodes.values()) assert.equal(bench.describeNode(node), truth, `${node.name} differs`)
-      assert.deepEqual(bench.reverted, [])
-      bench.nodes.forEach((node) => node.abort.abort())
+      Object.assign(cluster.hub, { lossShare: 0, repeatShare: 0, maxDelayMs: 5 })
+      cluster.hub.healAll()
+      Object.assign(cluster.store.faults, { down: false, gapEvery: 0, reorder: false })
+      NAMES.filter((name) => !cluster.nodes.has(name)).forEach((name) => cluster.start(name))
+      // Changes that all watches missed arrive with the next listing.
+      await cluster.clock.advance(45_000)
+      const truth = await cluster.readTruth()
+      for (const node of cluster.nodes.values()) assert.equal(cluster.describeNode(node), truth, `${node.name} differs`)
+      assert.deepEqual(cluster.reversions, [])
+      cluster.nodes.forEach((node) => node.abort.abort())
     }, 50)
   })
 })
