--- a/config/feed/src/StoreFeed.ts
+++ b/config/feed/src/StoreFeed.ts
@@ -197,7 +197,7 @@
 
   /** Replaces the replica with an older listing, after a peer sent changes that were never in the store. */
   private reset ({ version, objects }: StoreListing, knownAt: number): void {
-    recordReset(this.opts, { version, held: this.replica.newestVersion })
+    recordReset(this.opts, { version, replicaVersion: this.replica.newestVersion })
     this.replica.reset(version, objects)
     this.rejections = 0
     this.mustRelist = false
@@ -326,7 +326,7 @@
     const previous = this.replica.newestVersion
     const differences = previous > 0 && isOfLaterEpoch(revision, previous) ? this.replica.listDifferences(revision, objects) : undefined
     if (!this.replica.replace(revision, objects)) {
-      recordRejected(this.opts, { version: revision, held: this.replica.newestVersion })
+      recordRejected(this.opts, { version: revision, replicaVersion: this.replica.newestVersion })
       return false
     }
     this.freshAt = Math.max(this.freshAt, knownAt)
@@ -337,10 +337,10 @@
   }
 
   /** Treats a restored store as just recovered, and passes all objects on as a listing. */
-  private handleRestore (former: number, changed: number): void {
+  private handleRestore (previous: number, changed: number): void {
     const { newestVersion } = this.replica
     this.availability.recordRecovery()
-    recordRestored(this.opts, { version: newestVersion, former, changed })
+    recordRestored(this.opts, { version: newestVersion, previous, changed })
     this.opts.onListing(this.replica.list(), { version: newestVersion, isRestored: true })
   }
 
--- a/config/feed/src/replicaRecords.ts
+++ b/config/feed/src/replicaRecords.ts
@@ -12,7 +12,7 @@
 /** Versions of a listing and of the replica that it is compared with. */
 export interface ComparedListing {
   version: number
-  held: number
+  replicaVersion: number
 }
 
 /** Whether the store was restored from an older snapshot between two versions. */
@@ -28,13 +28,13 @@
 }
 
 /** Logs that a replica followed the store into a later epoch. */
-export function recordRestored ({ log, prefix }: ReplicaLog, it: { version: number, former: number, changed: number }): void {
+export function recordRestored ({ log, prefix }: ReplicaLog, it: { version: number, previous: number, changed: number }): void {
   log.record(DecisionKinds.COPY_RESTORED, {
     prefix,
     epoch: readEpoch(it.version),
     revision: readRevision(it.version),
-    formerEpoch: readEpoch(it.former),
-    formerRevision: readRevision(it.former),
+    formerEpoch: readEpoch(it.previous),
+    formerRevision: readRevision(it.previous),
     changed: it.changed,
   })
 }
@@ -49,6 +49,6 @@
   log.record(DecisionKinds.COPY_RESET, { prefix, ...describeVersions(it) })
 }
 
-function describeVersions ({ version, held }: ComparedListing): { epoch: number, revision: number, heldEpoch: number, heldRevision: number } {
-  return { epoch: readEpoch(version), revision: readRevision(version), heldEpoch: readEpoch(held), heldRevision: readRevision(held) }
+function describeVersions ({ version, replicaVersion }: ComparedListing): { epoch: number, revision: number, heldEpoch: number, heldRevision: number } {
+  return { epoch: readEpoch(version), revision: readRevision(version), heldEpoch: readEpoch(replicaVersion), heldRevision: readRevision(replicaVersion) }
 }
--- a/config/sync/src/startConfigSync.ts
+++ b/config/sync/src/startConfigSync.ts
@@ -126,9 +126,9 @@
   if (hasAllEntries) replica.advance(digest.value.knownThrough)
 }
 
-async function pullEntries (opts: ConfigSyncOptions, peer: string, wanted: string[]): Promise<boolean> {
-  for (let at = 0; at < wanted.length; at += ENTRIES_PER_CALL) {
-    const keys = wanted.slice(at, at + ENTRIES_PER_CALL)
+async function pullEntries (opts: ConfigSyncOptions, peer: string, keysToPull: string[]): Promise<boolean> {
+  for (let at = 0; at < keysToPull.length; at += ENTRIES_PER_CALL) {
+    const keys = keysToPull.slice(at, at + ENTRIES_PER_CALL)
     const entries = await opts.network.call(peer, ENTRIES, keys, CALL_TIMEOUT_MS)
     if (entries.isErr()) return false
     for (const entry of entries.value) opts.replica.applyEntry(entry)
