--- a/config/feed/src/index.ts
+++ b/config/feed/src/index.ts
@@ -1,3 +1,3 @@
 export { CopyWatch } from './CopyWatch.js'
 export { StoreFeed } from './StoreFeed.js'
-export type { ListingFacts, StoreFeedOptions } from './StoreFeedOptions.js'
+export type { ListingInfo, StoreFeedOptions } from './StoreFeedOptions.js'
