--- a/routing/queue/src/FairShare.ts
+++ b/routing/queue/src/FairShare.ts
@@ -1,26 +1,26 @@
 /**
- * Weighted fair order between partners by start tags: who has had least for its weight goes first. A partner that
- * was idle starts level with the one served last, so that idleness saves up no credit and costs none.
+ * Start-time fair queueing between partners: the partner with the fewest grants for its weight goes first. An idle
+ * partner rejoins at the current virtual time, so idle time neither earns nor costs credit.
  */
 export class FairShare {
-  private readonly tags = new Map<string, number>()
-  private level = 0
+  private readonly startTags = new Map<string, number>()
+  private virtualTime = 0
 
   constructor (private readonly getWeight: (partner: string) => number) {}
 
-  /** A partner begins to wait after it had nothing waiting. */
+  /** Must be called when a partner has a request again after having none waiting. */
   activate (partner: string): void {
-    this.tags.set(partner, Math.max(this.tags.get(partner) ?? 0, this.level))
+    this.startTags.set(partner, Math.max(this.startTags.get(partner) ?? 0, this.virtualTime))
   }
 
-  /** Counts one grant. */
+  /** Charges one grant to a partner. */
   charge (partner: string): void {
-    const start = this.tags.get(partner) ?? this.level
-    this.level = Math.max(this.level, start)
-    this.tags.set(partner, start + 1 / Math.max(this.getWeight(partner), 1e-6))
+    const startTag = this.startTags.get(partner) ?? this.virtualTime
+    this.virtualTime = Math.max(this.virtualTime, startTag)
+    this.startTags.set(partner, startTag + 1 / Math.max(this.getWeight(partner), 1e-6))
   }
 
   compare (a: string, b: string): number {
-    return (this.tags.get(a) ?? this.level) - (this.tags.get(b) ?? this.level)
+    return (this.startTags.get(a) ?? this.virtualTime) - (this.startTags.get(b) ?? this.virtualTime)
   }
 }
--- a/routing/queue/src/WorkQueue.ts
+++ b/routing/queue/src/WorkQueue.ts
@@ -4,30 +4,30 @@
 import { DeadlineHeap } from './DeadlineHeap.js'
 import { FairShare } from './FairShare.js'
 
-/** One request that wants a place at a backend server. */
+/** A request that needs a slot at a backend server. */
 export interface QueuedWork<Grant> {
   partner: string
   serviceClass: ServiceClass
-  /** Requests of one lane can run at the same servers, so that the first of a lane stands for all. */
+  /** Requests of a lane can run on the same servers: if the first one gets no slot, none of them can. */
   lane: string
-  /** Monotone time after which the answer is of no use. */
+  /** Monotonic time in milliseconds after which the response is useless. */
   deadline: number
-  /** Milliseconds that the work will likely take; started later than that before its deadline, it would be done in vain. */
+  /** Expected service time in milliseconds; a request that could not finish by its deadline is not started. */
   expectedMs?: number
-  /** Tries to take a place now; undefined when there is none. */
+  /** Tries to acquire a slot now; returns undefined if none is free. */
   tryGrant: () => Grant | undefined
   signal: AbortSignal
 }
 
 export interface WorkQueueOptions {
   clock: Clock
-  /** Requests of one partner that may wait. Each has its own bound, so that a burst of one can't shut out the other. */
+  /** Maximum waiting requests per partner; a burst from one partner does not block the others. */
   maxPerPartner: number
   getWeight: (partner: string) => number
 }
 
-interface Waiting<Grant> extends QueuedWork<Grant> {
-  since: number
+interface QueuedRequest<Grant> extends QueuedWork<Grant> {
+  enqueuedAt: number
   settle: (grant: Grant) => void
   fail: (error: PulleystackError) => void
 }
@@ -35,157 +35,157 @@
 interface Lane<Grant> {
   partner: string
   serviceClass: ServiceClass
-  heap: DeadlineHeap<Waiting<Grant>>
+  heap: DeadlineHeap<QueuedRequest<Grant>>
   /** Smoothed milliseconds between two grants. */
-  gapMs: number
-  grantedAt: number
+  grantIntervalMs: number
+  lastGrantAt: number
 }
 
-// One grant in this many goes to work before lookups, so that a storm can't stop it altogether.
-const FLOOR_EVERY = 10
-const EWMA_SHARE = 0.2
+// One in this many grants prefers work, so that lookups cannot starve it.
+const WORK_FIRST_INTERVAL = 10
+const EWMA_WEIGHT = 0.2
 
-/** Holds requests until a server has a place. Nothing here has been sent, so every refusal is `ran: no`. */
+/** Holds requests until a server has a free slot. Queued requests have not been sent, so every rejection has `ran: 'no'`. */
 export class WorkQueue<Grant> {
   private readonly lanes = new Map<string, Lane<Grant>>()
-  private readonly counts = new Map<string, number>()
-  private readonly shares: FairShare
-  private grants = 0
-  private pumping = false
+  private readonly waitingByPartner = new Map<string, number>()
+  private readonly fairShare: FairShare
+  private grantCount = 0
+  private isPumping = false
 
   constructor (private readonly opts: WorkQueueOptions) {
-    this.shares = new FairShare(opts.getWeight)
+    this.fairShare = new FairShare(opts.getWeight)
   }
 
   get size (): number {
     let sum = 0
-    for (const count of this.counts.values()) sum += count
+    for (const count of this.waitingByPartner.values()) sum += count
     return sum
   }
 
   countWaiting (partner: string): number {
-    return this.counts.get(partner) ?? 0
+    return this.waitingByPartner.get(partner) ?? 0
   }
 
-  /** Resolves with a place, or fails with OVERLOADED, DEADLINE_NOT_RUN or CALLER_GONE; always before the deadline. */
+  /** Resolves with a slot or rejects with OVERLOADED, DEADLINE_NOT_RUN or CALLER_GONE, always before the deadline. */
   acquire (work: QueuedWork<Grant>): Promise<Grant> {
-    const lane = this.findLane(work)
-    const inTime = findLatestStart(work) >= this.opts.clock.readTime()
-    const grant = inTime && lane.heap.size === 0 ? work.tryGrant() : undefined
+    const lane = this.findOrCreateLane(work)
+    const isFeasible = computeLatestStart(work) >= this.opts.clock.readTime()
+    const grant = isFeasible && lane.heap.size === 0 ? work.tryGrant() : undefined
     if (grant !== undefined) {
-      this.noteGrant(lane, work)
+      this.recordGrant(lane, work)
       return Promise.resolve(grant)
     }
-    const refusal = this.checkRoom(work, lane)
-    return refusal ? Promise.reject(refusal) : this.wait(work, lane)
+    const rejection = this.checkCapacity(work, lane)
+    return rejection ? Promise.reject(rejection) : this.enqueue(work, lane)
   }
 
-  /** Gives places that came free to those who wait, in the right order. */
+  /** Grants free slots to waiting requests in order of precedence. */
   pump (): void {
-    if (this.pumping) return
-    this.pumping = true
+    if (this.isPumping) return
+    this.isPumping = true
     try {
-      while (this.grantOne()) { /* until nobody can be served */ }
+      while (this.grantOne()) { /* until no waiting request can get a slot */ }
     } finally {
-      this.pumping = false
+      this.isPumping = false
     }
   }
 
-  private wait (work: QueuedWork<Grant>, lane: Lane<Grant>): Promise<Grant> {
+  private enqueue (work: QueuedWork<Grant>, lane: Lane<Grant>): Promise<Grant> {
     const { clock } = this.opts
     return new Promise((resolve, reject) => {
-      const leave = (): void => {
-        cancel()
-        work.signal.removeEventListener('abort', abandon)
-        this.counts.set(work.partner, this.countWaiting(work.partner) - 1)
+      const finishWaiting = (): void => {
+        cancelTimer()
+        work.signal.removeEventListener('abort', onAbort)
+        this.waitingByPartner.set(work.partner, this.countWaiting(work.partner) - 1)
       }
-      const waiting: Waiting<Grant> = {
+      const queued: QueuedRequest<Grant> = {
         ...work,
-        since: clock.readTime(),
+        enqueuedAt: clock.readTime(),
         settle: (grant) => {
-          leave()
+          finishWaiting()
           resolve(grant)
         },
         fail: (error) => {
-          leave()
-          lane.heap.remove(waiting)
+          finishWaiting()
+          lane.heap.remove(queued)
           reject(error)
         },
       }
-      const abandon = (): void => waiting.fail(new PulleystackError('CALLER_GONE', 'The caller went away while the request waited', { ran: 'no' }))
-      const cancel = clock.setTimer(Math.max(0, findLatestStart(work) - clock.readTime()), () => waiting.fail(createLate()))
-      work.signal.addEventListener('abort', abandon, { once: true })
-      if (this.countWaiting(work.partner) === 0) this.shares.activate(work.partner)
-      this.counts.set(work.partner, this.countWaiting(work.partner) + 1)
-      lane.heap.push(waiting)
-      if (work.signal.aborted) abandon()
+      const onAbort = (): void => queued.fail(new PulleystackError('CALLER_GONE', 'The caller disconnected while the request was queued', { ran: 'no' }))
+      const cancelTimer = clock.setTimer(Math.max(0, computeLatestStart(work) - clock.readTime()), () => queued.fail(createDeadlineError()))
+      work.signal.addEventListener('abort', onAbort, { once: true })
+      if (this.countWaiting(work.partner) === 0) this.fairShare.activate(work.partner)
+      this.waitingByPartner.set(work.partner, this.countWaiting(work.partner) + 1)
+      lane.heap.push(queued)
+      if (work.signal.aborted) onAbort()
     })
   }
 
-  private checkRoom (work: QueuedWork<Grant>, lane: Lane<Grant>): PulleystackError | undefined {
-    const left = findLatestStart(work) - this.opts.clock.readTime()
-    if (left <= 0) return createLate()
-    const expectedMs = lane.heap.countBefore(work.deadline) * lane.gapMs
-    const full = this.countWaiting(work.partner) >= this.opts.maxPerPartner
-    if (!full && expectedMs <= left) return undefined
-    const retryAfterSeconds = Math.max(1, Math.ceil(Math.min(expectedMs, 60_000) / 1000))
-    return new PulleystackError('OVERLOADED', `${this.countWaiting(work.partner)} requests wait; this one would not be done in time`, {
+  private checkCapacity (work: QueuedWork<Grant>, lane: Lane<Grant>): PulleystackError | undefined {
+    const remainingMs = computeLatestStart(work) - this.opts.clock.readTime()
+    if (remainingMs <= 0) return createDeadlineError()
+    const expectedWaitMs = lane.heap.countBefore(work.deadline) * lane.grantIntervalMs
+    const isFull = this.countWaiting(work.partner) >= this.opts.maxPerPartner
+    if (!isFull && expectedWaitMs <= remainingMs) return undefined
+    const retryAfterSeconds = Math.max(1, Math.ceil(Math.min(expectedWaitMs, 60_000) / 1000))
+    return new PulleystackError('OVERLOADED', `${this.countWaiting(work.partner)} requests are queued; the queue is full or the deadline too close`, {
       retryAfterSeconds,
-      hint: `Ask again after ${retryAfterSeconds} s.`,
+      hint: `Retry after ${retryAfterSeconds} s.`,
     })
   }
 
   private grantOne (): boolean {
-    for (const lane of this.listLanes()) {
+    for (const lane of this.listWaitingLanes()) {
       const first = lane.heap.peek()
       const grant = first?.tryGrant()
       if (!first || grant === undefined) continue
       lane.heap.remove(first)
-      this.noteGrant(lane, first)
+      this.recordGrant(lane, first)
       first.settle(grant)
       return true
     }
     return false
   }
 
-  private noteGrant (lane: Lane<Grant>, work: QueuedWork<Grant>): void {
+  private recordGrant (lane: Lane<Grant>, work: QueuedWork<Grant>): void {
     const now = this.opts.clock.readTime()
-    // Only gaps while others waited tell how fast the lane moves.
-    if (lane.heap.size > 0) lane.gapMs += (now - lane.grantedAt - lane.gapMs) * EWMA_SHARE
-    lane.grantedAt = now
-    this.grants++
-    if (this.countWaiting(work.partner) === 0) this.shares.activate(work.partner)
-    this.shares.charge(work.partner)
+    // Only intervals with requests still waiting show the lane's throughput.
+    if (lane.heap.size > 0) lane.grantIntervalMs += (now - lane.lastGrantAt - lane.grantIntervalMs) * EWMA_WEIGHT
+    lane.lastGrantAt = now
+    this.grantCount++
+    if (this.countWaiting(work.partner) === 0) this.fairShare.activate(work.partner)
+    this.fairShare.charge(work.partner)
   }
 
-  private listLanes (): Lane<Grant>[] {
-    const first = this.grants % FLOOR_EVERY === FLOOR_EVERY - 1 ? ServiceClasses.WORK : ServiceClasses.LOOKUP
-    const waiting = [...this.lanes.values()].filter((lane) => lane.heap.size > 0)
-    return waiting.sort((a, b) => this.compareLanes(a, b, first))
+  private listWaitingLanes (): Lane<Grant>[] {
+    const preferredClass = this.grantCount % WORK_FIRST_INTERVAL === WORK_FIRST_INTERVAL - 1 ? ServiceClasses.WORK : ServiceClasses.LOOKUP
+    const lanes = [...this.lanes.values()].filter((lane) => lane.heap.size > 0)
+    return lanes.sort((a, b) => this.compareLanes(a, b, preferredClass))
   }
 
-  private compareLanes (a: Lane<Grant>, b: Lane<Grant>, first: ServiceClass): number {
-    if (a.serviceClass !== b.serviceClass) return a.serviceClass === first ? -1 : 1
-    const share = this.shares.compare(a.partner, b.partner)
-    if (share !== 0) return share
+  private compareLanes (a: Lane<Grant>, b: Lane<Grant>, preferredClass: ServiceClass): number {
+    if (a.serviceClass !== b.serviceClass) return a.serviceClass === preferredClass ? -1 : 1
+    const shareOrder = this.fairShare.compare(a.partner, b.partner)
+    if (shareOrder !== 0) return shareOrder
     return (a.heap.peek()?.deadline ?? 0) - (b.heap.peek()?.deadline ?? 0)
   }
 
-  private findLane (work: QueuedWork<Grant>): Lane<Grant> {
-    const name = `${work.serviceClass}|${work.partner}|${work.lane}`
-    const present = this.lanes.get(name)
-    if (present) return present
+  private findOrCreateLane (work: QueuedWork<Grant>): Lane<Grant> {
+    const key = `${work.serviceClass}|${work.partner}|${work.lane}`
+    const existing = this.lanes.get(key)
+    if (existing) return existing
     const { partner, serviceClass } = work
-    const lane: Lane<Grant> = { partner, serviceClass, heap: new DeadlineHeap(), gapMs: 0, grantedAt: this.opts.clock.readTime() }
-    this.lanes.set(name, lane)
+    const lane: Lane<Grant> = { partner, serviceClass, heap: new DeadlineHeap(), grantIntervalMs: 0, lastGrantAt: this.opts.clock.readTime() }
+    this.lanes.set(key, lane)
     return lane
   }
 }
 
-function findLatestStart (work: { deadline: number, expectedMs?: number }): number {
+function computeLatestStart (work: { deadline: number, expectedMs?: number }): number {
   return work.deadline - (work.expectedMs ?? 0)
 }
 
-function createLate (): PulleystackError {
-  return new PulleystackError('DEADLINE_NOT_RUN', 'The request waited for a place until it could not be done by its deadline any more', { retryAfterSeconds: 1 })
+function createDeadlineError (): PulleystackError {
+  return new PulleystackError('DEADLINE_NOT_RUN', 'No slot became free in time to finish the request by its deadline', { retryAfterSeconds: 1 })
 }
