--- a/routing/limiter/src/AdaptiveLimiter.ts
+++ b/routing/limiter/src/AdaptiveLimiter.ts
@@ -6,63 +6,62 @@
   maxLimit?: number
 }
 
-const DECREASE = 0.85
-// A few requests waiting at the server keep it busy between reports; more only hide the order that they should go in.
-const WAITING_TOLERATED = 0.5
-// Slow changes of the floor let it follow a server whose hardware or model changed.
-const FLOOR_RISE = 0.01
-const SMOOTHING = 0.2
+const DECREASE_FACTOR = 0.85
+// A short queue at the server keeps it busy between reports; a longer one bypasses the ordering of our own queue.
+const MAX_WAITING_SHARE = 0.5
+// The baseline rises slowly to follow a server whose hardware or model changed.
+const BASELINE_RISE_PER_SAMPLE = 0.01
+const EWMA_WEIGHT = 0.2
 const COOLDOWN_MS = 100
 
 /**
- * Additive increase, multiplicative decrease. The limit grows while it is used up and the first byte comes about as
- * fast as it ever does; it shrinks when first bytes come later by more than a whole request's time, when the server
- * reports many requests waiting for a place, or when it refuses. Every entry instance sees the same server, so that
- * their limits settle together.
+ * Additive increase, multiplicative decrease. The limit grows while at least half of it is in use. It shrinks when
+ * first-byte latency exceeds its baseline by more than a request's service time, when the server reports a long queue,
+ * or when it rejects requests or times out.
  */
 export class AdaptiveLimiter extends ConcurrencyLimiter {
-  private value: number
-  private floorMs = Infinity
+  private fractionalLimit: number
+  private baselineMs = Infinity
   private smoothedMs: number | undefined
-  private lowerableAt = 0
-  private searching = true
+  private lowerAllowedAt = 0
+  private isSlowStart = true
 
   constructor (private readonly opts: AdaptiveLimiterOptions = {}) {
     super()
-    this.value = opts.initialLimit ?? 8
+    this.fractionalLimit = opts.initialLimit ?? 8
   }
 
   get limit (): number {
-    return Math.max(this.opts.minLimit ?? 1, Math.floor(this.value))
+    return Math.max(this.opts.minLimit ?? 1, Math.floor(this.fractionalLimit))
   }
 
   addSample (sample: LimiterSample): void {
-    this.learn(sample.firstByteMs)
-    if (this.isCongested(sample)) this.lower(sample.now)
-    else if (sample.inFlight * 2 >= this.limit) this.raise()
+    this.updateLatency(sample.firstByteMs)
+    if (this.isCongested(sample)) this.lowerLimit(sample.now)
+    else if (sample.inFlight * 2 >= this.limit) this.raiseLimit()
   }
 
-  private learn (firstByteMs: number): void {
-    this.floorMs = Math.min(firstByteMs, this.floorMs === Infinity ? firstByteMs : this.floorMs * (1 + FLOOR_RISE))
-    this.smoothedMs = this.smoothedMs === undefined ? firstByteMs : this.smoothedMs + (firstByteMs - this.smoothedMs) * SMOOTHING
+  private updateLatency (firstByteMs: number): void {
+    this.baselineMs = Math.min(firstByteMs, this.baselineMs === Infinity ? firstByteMs : this.baselineMs * (1 + BASELINE_RISE_PER_SAMPLE))
+    this.smoothedMs = this.smoothedMs === undefined ? firstByteMs : this.smoothedMs + (firstByteMs - this.smoothedMs) * EWMA_WEIGHT
   }
 
   private isCongested (sample: LimiterSample): boolean {
-    const slow = (this.smoothedMs ?? 0) - this.floorMs > Math.max(this.floorMs, sample.serviceMs) + 2
-    return sample.overloaded || sample.waitingShare > WAITING_TOLERATED || (slow && sample.inFlight > 1)
+    const isSlow = (this.smoothedMs ?? 0) - this.baselineMs > Math.max(this.baselineMs, sample.serviceMs) + 2
+    return sample.overloaded || sample.waitingShare > MAX_WAITING_SHARE || (isSlow && sample.inFlight > 1)
   }
 
-  /** Doubles with each round of answers until the first congestion, and is careful from then on. */
-  private raise (): void {
-    const step = this.searching ? 1 : 1 / this.limit
-    this.value = Math.min(this.opts.maxLimit ?? 1024, this.value + step)
+  /** Slow start: the limit doubles each round trip until the first congestion, then grows by one per round trip. */
+  private raiseLimit (): void {
+    const step = this.isSlowStart ? 1 : 1 / this.limit
+    this.fractionalLimit = Math.min(this.opts.maxLimit ?? 1024, this.fractionalLimit + step)
   }
 
-  // One burst of bad samples counts once, or a single hiccup would close the server.
-  private lower (now: number): void {
-    if (now < this.lowerableAt) return
-    this.searching = false
-    this.lowerableAt = now + COOLDOWN_MS + (this.smoothedMs ?? 0)
-    this.value = Math.max(this.opts.minLimit ?? 1, this.value * DECREASE)
+  // A burst of congested samples lowers the limit only once.
+  private lowerLimit (now: number): void {
+    if (now < this.lowerAllowedAt) return
+    this.isSlowStart = false
+    this.lowerAllowedAt = now + COOLDOWN_MS + (this.smoothedMs ?? 0)
+    this.fractionalLimit = Math.max(this.opts.minLimit ?? 1, this.fractionalLimit * DECREASE_FACTOR)
   }
 }
--- a/routing/limiter/src/ConcurrencyLimiter.ts
+++ b/routing/limiter/src/ConcurrencyLimiter.ts
@@ -1,20 +1,20 @@
-/** What one finished request tells about its backend server. */
+/** Observations from one finished request at a backend server. */
 export interface LimiterSample {
-  /** Milliseconds to the first byte, less what the request's own size explains. */
+  /** Milliseconds to the first byte, without the part due to the request's own size. */
   firstByteMs: number
-  /** Requests that this instance had there when it was sent. */
+  /** Requests of this instance in flight at the server when this one was sent. */
   inFlight: number
-  /** Requests that the server last reported as waiting, as a share of its places. */
+  /** Waiting requests in the last report of the server, as a fraction of its slots. */
   waitingShare: number
-  /** Smoothed milliseconds that a request holds a place there. */
+  /** Smoothed milliseconds that a request occupies a slot there. */
   serviceMs: number
-  /** The server refused for lack of room, or timed out. */
+  /** True if the server rejected the request for lack of capacity or timed out. */
   overloaded: boolean
-  /** Monotone time of the sample. */
+  /** Monotonic time of the sample in milliseconds. */
   now: number
 }
 
-/** Decides how many requests of this instance may be at one backend server. */
+/** Limits the requests of this instance in flight at one backend server. */
 export abstract class ConcurrencyLimiter {
   abstract get limit (): number
   abstract addSample (sample: LimiterSample): void
--- a/routing/limiter/src/FixedLimiter.ts
+++ b/routing/limiter/src/FixedLimiter.ts
@@ -1,6 +1,6 @@
 import { ConcurrencyLimiter } from './ConcurrencyLimiter.js'
 
-/** A limit that stays; the baseline that the adaptive one is measured against. */
+/** A constant limit that ignores all samples. */
 export class FixedLimiter extends ConcurrencyLimiter {
   constructor (readonly limit: number) {
     super()
--- a/routing/limiter/src/RateLimiter.ts
+++ b/routing/limiter/src/RateLimiter.ts
@@ -2,25 +2,25 @@
 
 interface Bucket {
   tokens: number
-  at: number
+  updatedAt: number
 }
 
 const BURST_SECONDS = 1
 const MAX_BUCKETS = 50_000
 
-/** Token buckets by name. A limit over all instances is split evenly among those that serve it. */
+/** Token buckets by key. A limit for the whole deployment is split evenly among the instances that serve the key. */
 export class RateLimiter {
   private readonly buckets = new LRUCache<string, Bucket>({ max: MAX_BUCKETS })
 
-  /** Takes one token; gives 0 when allowed, else the seconds until one will be there. */
-  take (name: string, perSecond: number, instances: number, now: number): number {
-    const rate = perSecond / Math.max(1, instances)
-    const capacity = Math.max(1, rate * BURST_SECONDS)
-    const bucket = this.buckets.get(name) ?? { tokens: capacity, at: now }
-    const tokens = Math.min(capacity, bucket.tokens + (now - bucket.at) / 1000 * rate)
-    const allowed = tokens >= 1
-    this.buckets.set(name, { tokens: allowed ? tokens - 1 : tokens, at: now })
-    if (allowed) return 0
-    return rate > 0 ? (1 - tokens) / rate : 60
+  /** Takes one token. Returns 0 if allowed, otherwise the seconds until a token is available (60 if the rate is zero). */
+  take (key: string, perSecond: number, instanceCount: number, now: number): number {
+    const ratePerInstance = perSecond / Math.max(1, instanceCount)
+    const capacity = Math.max(1, ratePerInstance * BURST_SECONDS)
+    const bucket = this.buckets.get(key) ?? { tokens: capacity, updatedAt: now }
+    const tokens = Math.min(capacity, bucket.tokens + (now - bucket.updatedAt) / 1000 * ratePerInstance)
+    const isAllowed = tokens >= 1
+    this.buckets.set(key, { tokens: isAllowed ? tokens - 1 : tokens, updatedAt: now })
+    if (isAllowed) return 0
+    return ratePerInstance > 0 ? (1 - tokens) / ratePerInstance : 60
   }
 }
