--- a/routing/picker/src/Picker.ts
+++ b/routing/picker/src/Picker.ts
@@ -1,22 +1,22 @@
-/** What a picker sees of a backend server. */
+/** The view of a backend server that a picker decides on. */
 export interface Pickable {
   readonly id: string
   readonly slots: number
   readonly serviceMs: number
   readonly prefillMsPerBlock: number
   estimateLoad (): number
-  /** Milliseconds that the way there adds. */
+  /** Network latency to the server in milliseconds. */
   readonly hopMs: number
   countMatching (blocks: readonly number[]): number
 }
 
 export interface PickRequest {
-  /** Hashes of the prompt's leading blocks; empty for plain services. */
+  /** Hashes of the prompt's leading blocks; empty for services without prompts. */
   blocks: readonly number[]
 }
 
-/** A way to choose one of several servers, all of which may take the request. */
+/** Chooses one of several servers, all of them eligible for the request. */
 export abstract class Picker {
-  /** Picks from a list that is not empty. */
+  /** `candidates` must not be empty. */
   abstract pick<T extends Pickable> (candidates: readonly T[], request: PickRequest): T
 }
--- a/routing/picker/src/baselines.ts
+++ b/routing/picker/src/baselines.ts
@@ -1,7 +1,7 @@
 import type { RandomSource } from '@pulleystack/core.clock'
 import { Picker, type Pickable } from './Picker.js'
 
-/** Baseline: any server. */
+/** Picks a server uniformly at random. */
 export class RandomPicker extends Picker {
   constructor (private readonly random: RandomSource) {
     super()
@@ -12,16 +12,16 @@
   }
 }
 
-/** Baseline: one after the other. */
+/** Picks servers in turn. */
 export class RoundRobinPicker extends Picker {
-  private next = 0
+  private nextIndex = 0
 
   pick<T extends Pickable> (candidates: readonly T[]): T {
-    return candidates[this.next++ % candidates.length] as T
+    return candidates[this.nextIndex++ % candidates.length] as T
   }
 }
 
-/** Baseline: the least load by what is known; herds when reports lag. */
+/** Picks the lowest estimated load. With delayed reports, instances tend to pick the same server. */
 export class LeastReportedPicker extends Picker {
   pick<T extends Pickable> (candidates: readonly T[]): T {
     return candidates.reduce((best, it) => it.estimateLoad() < best.estimateLoad() ? it : best)
