--- a/routing/runners/src/Runner.ts
+++ b/routing/runners/src/Runner.ts
@@ -5,57 +5,56 @@
 import type { RunnerUpdate } from './RunnerUpdate.js'
 
 const DEFAULT_SLOTS = 8
-const PLAIN_SLOTS = 64
-const EWMA_SHARE = 0.1
-// Several reports must be missing before silence means anything.
-const OUTDATED_TIMES = 3
-const SILENT_REPORTS = 3
-const SILENT_MIN_MS = 1_500
+const DEFAULT_PLAIN_SLOTS = 64
+const EWMA_WEIGHT = 0.1
+const OUTDATED_AFTER_SERVICE_TIMES = 3
+const MISSED_REPORTS_UNTIL_SILENT = 3
+const MIN_SILENCE_MS = 1_500
 const INITIAL_SERVICE_MS = 200
 const INITIAL_PREFILL_MS = 4
 
-interface OwnSample {
+interface InFlightSample {
   at: number
   inFlight: number
 }
 
 interface ReportState {
-  /** Monotone time of the figures. */
-  at: number
-  everyMs: number
+  /** Monotonic time at which the server measured these values. */
+  measuredAt: number
+  intervalMs: number
   running: number
   waiting: number
   slots: number
   freeBytes: number
 }
 
-/** One backend server as this instance sees it. */
+/** This instance's view of one backend server. */
 export class Runner {
   readonly cache = new PrefixIndex()
   readonly limiter: ConcurrencyLimiter
   readonly outlier: OutlierDetector
-  /** Smoothed milliseconds that a request holds a place. */
+  /** Smoothed milliseconds that a request occupies a slot. */
   serviceMs = INITIAL_SERVICE_MS
-  /** Smoothed milliseconds of a request for each of its tokens, its wait at the server included. */
+  /** Smoothed milliseconds per token of a request, including its wait at the server. */
   msPerToken = 0
-  /** Smoothed milliseconds to prefill a block that was not cached. */
+  /** Smoothed milliseconds to prefill one uncached block. */
   prefillMsPerBlock = INITIAL_PREFILL_MS
-  /** Monotone time until which the server asked for no work. */
+  /** Monotonic time until which the server requested a pause. */
   refusedUntil = 0
   private readonly items = new Map<string, ResidentItem>()
   private readonly inFlightByPartner = new Map<string, number>()
   private readonly inFlightByItem = new Map<string, number>()
-  /** Items that get no new work because they will be removed; until a monotone time. */
-  private readonly draining = new Map<string, number>()
+  /** Items about to be removed, by the monotonic time until which they get no new requests. */
+  private readonly drainingUntil = new Map<string, number>()
   private report: ReportState | undefined
-  private life = ''
-  private seq = 0
-  private samples: OwnSample[] = [{ at: -Infinity, inFlight: 0 }]
+  private incarnation = ''
+  private lastSeq = 0
+  private inFlightSamples: InFlightSample[] = [{ at: -Infinity, inFlight: 0 }]
   private inFlight = 0
-  private lookups = 0
+  private lookupsInFlight = 0
 
   constructor (public server: ListedInstance) {
-    this.limiter = new AdaptiveLimiter({ initialLimit: server.role === InstanceRoles.PLAIN ? PLAIN_SLOTS : DEFAULT_SLOTS })
+    this.limiter = new AdaptiveLimiter({ initialLimit: server.role === InstanceRoles.PLAIN ? DEFAULT_PLAIN_SLOTS : DEFAULT_SLOTS })
     this.outlier = new OutlierDetector()
   }
 
@@ -68,16 +67,16 @@
   }
 
   get slots (): number {
-    return this.report?.slots ?? (this.server.role === InstanceRoles.PLAIN ? PLAIN_SLOTS : DEFAULT_SLOTS)
+    return this.report?.slots ?? (this.server.role === InstanceRoles.PLAIN ? DEFAULT_PLAIN_SLOTS : DEFAULT_SLOTS)
   }
 
   get freeBytes (): number {
     return this.report?.freeBytes ?? 0
   }
 
-  /** Monotone time of the newest figures, undefined before the first. */
+  /** Monotonic time of the newest report, undefined before the first. */
   get reportedAt (): number | undefined {
-    return this.report?.at
+    return this.report?.measuredAt
   }
 
   get waiting (): number {
@@ -89,109 +88,108 @@
   }
 
   hasReady (item: string): boolean {
-    return this.items.get(item)?.state === 'ready' && !this.draining.has(item)
+    return this.items.get(item)?.state === 'ready' && !this.drainingUntil.has(item)
   }
 
-  /** Sends an item no new work until a monotone time; gives the own requests still there. */
+  /** Sends no new requests for an item until a monotonic time; returns how many of this instance are still in flight for it. */
   drain (item: string, until: number): number {
-    this.draining.set(item, until)
+    this.drainingUntil.set(item, until)
     return this.inFlightByItem.get(item) ?? 0
   }
 
-  /** Lets items have work again whose removal did not come. */
+  /** Resumes requests for items that were not removed by the end of their drain. */
   endDrains (now: number): void {
-    for (const [item, until] of this.draining) {
-      if (until <= now) this.draining.delete(item)
+    for (const [item, until] of this.drainingUntil) {
+      if (until <= now) this.drainingUntil.delete(item)
     }
   }
 
-  /** Partners with something resident or offered here. */
+  /** Partners with a resident item or a service on this server. */
   listPartners (): Set<string> {
     const names = [...this.items.keys(), ...this.server.services ?? []]
     return new Set(names.map((name) => name.slice(0, name.indexOf('/'))))
   }
 
-  /** Own requests in flight that are not lookups. */
+  /** Requests of this instance in flight, without lookups. */
   get workInFlight (): number {
-    return this.inFlight - this.lookups
+    return this.inFlight - this.lookupsInFlight
   }
 
   countOf (partner: string): number {
     return this.inFlightByPartner.get(partner) ?? 0
   }
 
-  /** Takes a report; false when it is older than the one held. */
+  /** Applies a report; returns false if it is older than the current one. */
   applyUpdate (update: RunnerUpdate, now: number): boolean {
-    if (update.life !== this.life) this.forgetLife(update.life)
-    else if (update.seq <= this.seq) return false
-    this.seq = update.seq
+    if (update.life !== this.incarnation) this.startIncarnation(update.life)
+    else if (update.seq <= this.lastSeq) return false
+    this.lastSeq = update.seq
     const { everyMs, running, waiting, slots, freeBytes } = update
-    this.report = { at: now - update.ageMs, everyMs, running, waiting, slots, freeBytes }
+    this.report = { measuredAt: now - update.ageMs, intervalMs: everyMs, running, waiting, slots, freeBytes }
     if (update.items) this.replaceItems(update.items)
     this.cache.applyEvents(update.cacheEvents, update.cacheSeq)
     this.dropOldSamples()
     return true
   }
 
-  /** Work on the server as far as known: the lagging report, corrected by what this instance began and ended since. */
+  /** Estimated requests at the server: the last report, corrected by what this instance started and finished since. */
   estimateLoad (): number {
     if (!this.report) return this.inFlight
-    const at = this.report.at
-    const then = this.samples.findLast((sample) => sample.at <= at)?.inFlight ?? 0
-    return Math.max(this.inFlight, this.report.running + this.report.waiting + this.inFlight - then)
+    const measuredAt = this.report.measuredAt
+    const inFlightAtReport = this.inFlightSamples.findLast((sample) => sample.at <= measuredAt)?.inFlight ?? 0
+    return Math.max(this.inFlight, this.report.running + this.report.waiting + this.inFlight - inFlightAtReport)
   }
 
-  /** True when reports came and have stopped: the server may be frozen, or nobody can reach it. */
+  /** True if reports have stopped arriving: the server may be frozen or unreachable. */
   isSilent (now: number): boolean {
-    return this.report !== undefined && now - this.report.at > Math.max(SILENT_MIN_MS, SILENT_REPORTS * this.report.everyMs)
+    return this.report !== undefined && now - this.report.measuredAt > Math.max(MIN_SILENCE_MS, MISSED_REPORTS_UNTIL_SILENT * this.report.intervalMs)
   }
 
-  /** True when the report is so old that what it counted has ended; then only answers' times tell how busy the server is. */
+  /** True if the requests counted in the last report have probably finished; only response times then indicate the load. */
   isOutdated (now: number): boolean {
-    return this.report !== undefined && now - this.report.at > OUTDATED_TIMES * this.serviceMs
+    return this.report !== undefined && now - this.report.measuredAt > OUTDATED_AFTER_SERVICE_TIMES * this.serviceMs
   }
 
   /**
-   * True when the engine's places are taken, as far as the report tells. It is allowed as many more as will have
-   * ended since the report, so that places don't stay empty until the next one; beyond that, work waits here, where
-   * class, deadline and share decide who goes first, and not in the engine's own queue.
+   * True if the engine's slots are occupied according to its report, allowing for requests that have probably finished
+   * since. Further requests wait in this instance's queue, which orders them by class, share and deadline.
    */
   isFull (now: number): boolean {
     if (!this.report || this.isOutdated(now)) return false
-    const ended = Math.ceil(this.slots * (now - this.report.at) / this.serviceMs)
-    return this.estimateLoad() >= this.slots + Math.min(this.slots, Math.max(1, ended))
+    const expectedCompletions = Math.ceil(this.slots * (now - this.report.measuredAt) / this.serviceMs)
+    return this.estimateLoad() >= this.slots + Math.min(this.slots, Math.max(1, expectedCompletions))
   }
 
   noteStart (partner: string, isLookup: boolean, now: number, item?: string): void {
     if (item !== undefined) this.inFlightByItem.set(item, (this.inFlightByItem.get(item) ?? 0) + 1)
     this.inFlight++
-    if (isLookup) this.lookups++
+    if (isLookup) this.lookupsInFlight++
     this.inFlightByPartner.set(partner, this.countOf(partner) + 1)
-    this.samples.push({ at: now, inFlight: this.inFlight })
+    this.inFlightSamples.push({ at: now, inFlight: this.inFlight })
     if (!this.report) this.dropOldSamples()
   }
 
   noteEnd (partner: string, isLookup: boolean, now: number, item?: string): void {
     if (item !== undefined) this.inFlightByItem.set(item, (this.inFlightByItem.get(item) ?? 1) - 1)
     this.inFlight--
-    if (isLookup) this.lookups--
+    if (isLookup) this.lookupsInFlight--
     this.inFlightByPartner.set(partner, this.countOf(partner) - 1)
-    this.samples.push({ at: now, inFlight: this.inFlight })
+    this.inFlightSamples.push({ at: now, inFlight: this.inFlight })
   }
 
   noteServiceTime (ms: number, tokens?: number): void {
-    this.serviceMs += (ms - this.serviceMs) * EWMA_SHARE
-    if (tokens) this.msPerToken += (ms / tokens - this.msPerToken) * EWMA_SHARE
+    this.serviceMs += (ms - this.serviceMs) * EWMA_WEIGHT
+    if (tokens) this.msPerToken += (ms / tokens - this.msPerToken) * EWMA_WEIGHT
   }
 
-  /** Learns the cost of prefill from a first token that did not wait behind others. */
+  /** Updates the prefill time per block from a first token, unless requests are waiting at the server. */
   notePrefill (missingBlocks: number, firstTokenMs: number): void {
     if (missingBlocks < 1 || this.waiting > 0) return
-    this.prefillMsPerBlock += (firstTokenMs / missingBlocks - this.prefillMsPerBlock) * EWMA_SHARE
+    this.prefillMsPerBlock += (firstTokenMs / missingBlocks - this.prefillMsPerBlock) * EWMA_WEIGHT
   }
 
-  private forgetLife (life: string): void {
-    this.life = life
+  private startIncarnation (incarnation: string): void {
+    this.incarnation = incarnation
     this.items.clear()
     this.cache.clear()
   }
@@ -199,14 +197,14 @@
   private replaceItems (items: readonly ResidentItem[]): void {
     this.items.clear()
     for (const item of items) this.items.set(item.item, item)
-    for (const item of this.draining.keys()) {
-      if (!this.items.has(item)) this.draining.delete(item)
+    for (const item of this.drainingUntil.keys()) {
+      if (!this.items.has(item)) this.drainingUntil.delete(item)
     }
   }
 
   private dropOldSamples (): void {
-    const at = this.report?.at ?? Infinity
-    const first = this.samples.findLastIndex((sample) => sample.at <= at)
-    if (first > 0) this.samples = this.samples.slice(first)
+    const measuredAt = this.report?.measuredAt ?? Infinity
+    const firstNeeded = this.inFlightSamples.findLastIndex((sample) => sample.at <= measuredAt)
+    if (firstNeeded > 0) this.inFlightSamples = this.inFlightSamples.slice(firstNeeded)
   }
 }
--- a/routing/runners/src/RunnerTable.ts
+++ b/routing/runners/src/RunnerTable.ts
@@ -3,18 +3,18 @@
 import { Runner } from './Runner.js'
 import type { RunnerUpdate } from './RunnerUpdate.js'
 
-/** The backend servers that this instance may send work to. */
+/** The backend servers to which this instance may send requests. */
 export class RunnerTable {
   private readonly runners = new Map<string, Runner>()
-  private readonly early = new Map<string, RunnerUpdate>()
-  private readonly changed = new Subject<Runner>()
+  private readonly earlyUpdates = new Map<string, RunnerUpdate>()
+  private readonly updatedRunners = new Subject<Runner>()
 
-  /** Every report taken; waiting work may be able to run. */
+  /** Emits a runner after each accepted report, when queued requests may be able to run. */
   get changes (): Observable<Runner> {
-    return this.changed
+    return this.updatedRunners
   }
 
-  /** Takes the servers of the instance list; state of those that stay is kept. */
+  /** Replaces the set of servers, keeping the state of those already known at the same address. */
   applyServers (servers: readonly ListedInstance[], now: number): void {
     const ids = new Set(servers.map((server) => server.id))
     for (const id of this.runners.keys()) {
@@ -26,11 +26,11 @@
   applyUpdate (update: RunnerUpdate, now: number): void {
     const runner = this.runners.get(update.server)
     if (!runner) {
-      // The collector's list may be ahead of ours.
-      this.early.set(update.server, update)
+      // The collector may learn of a server before this instance does.
+      this.earlyUpdates.set(update.server, update)
       return
     }
-    if (runner.applyUpdate(update, now)) this.changed.next(runner)
+    if (runner.applyUpdate(update, now)) this.updatedRunners.next(runner)
   }
 
   findRunner (id: string): Runner | undefined {
@@ -46,14 +46,14 @@
   }
 
   private applyServer (server: ListedInstance, now: number): void {
-    const present = this.runners.get(server.id)
-    if (present && present.server.address === server.address) {
-      present.server = server
+    const existing = this.runners.get(server.id)
+    if (existing && existing.server.address === server.address) {
+      existing.server = server
       return
     }
     this.runners.set(server.id, new Runner(server))
-    const update = this.early.get(server.id)
-    this.early.delete(server.id)
+    const update = this.earlyUpdates.get(server.id)
+    this.earlyUpdates.delete(server.id)
     if (update) this.applyUpdate(update, now)
   }
 }
--- a/routing/runners/src/RunnerUpdate.ts
+++ b/routing/runners/src/RunnerUpdate.ts
@@ -1,13 +1,13 @@
 import type { CacheEvent, ResidentItem } from '@pulleystack/backend.interfaces'
 
-/** A report as its collector passes it on; `items` is left out while nothing changed. */
+/** A report as relayed by its collector; `items` is omitted while unchanged. */
 export interface RunnerUpdate {
   server: string
   life: string
   seq: number
-  /** Milliseconds between two reports of this engine, by which silence is told. */
+  /** Milliseconds between two reports of this engine; used to detect missing reports. */
   everyMs: number
-  /** Age of the figures in milliseconds when this was sent. */
+  /** Age of the reported values in milliseconds when this was sent. */
   ageMs: number
   running: number
   waiting: number
--- a/routing/runners/src/packUpdate.ts
+++ b/routing/runners/src/packUpdate.ts
@@ -7,7 +7,7 @@
 type PackedEvent = [seq: number, kind: number, blocks: number[]]
 type PackedItem = [item: string, bytes: number, state: number]
 
-/** An update without its fields' names: it goes between instances more often than anything else. */
+/** An update as a tuple without field names, the most frequent message between instances. */
 export type PackedUpdate = [
   server: string,
 life: string,
@@ -23,7 +23,7 @@
 items: PackedItem[] | null,
 ]
 
-/** Packs an update; ages are rounded up to whole milliseconds. */
+/** Packs an update; its age and interval are rounded up to whole milliseconds. */
 export function packUpdate (update: RunnerUpdate): PackedUpdate {
   const { server, life, seq, everyMs, ageMs, running, waiting, slots, freeBytes, cacheSeq } = update
   const events = update.cacheEvents.map((event): PackedEvent => [event.seq, CACHE_KINDS.indexOf(event.kind), event.blocks])
--- a/routing/runners/src/startCollector.ts
+++ b/routing/runners/src/startCollector.ts
@@ -7,16 +7,16 @@
 import type { RunnerTable } from './RunnerTable.js'
 import type { RunnerUpdate } from './RunnerUpdate.js'
 
-/** Reports that a collector passes on to the instances that serve the engine's models. */
+/** Reports relayed by a collector to the instances that serve the engine's models. */
 export const RUNNER_UPDATES = defineChannel<PackedUpdate>('runners.update')
 
-const REVIEW_MS = 250
+const ASSIGNMENT_INTERVAL_MS = 250
 const MAX_BACKOFF_MS = 2_000
-// After this time the items go along though nothing changed, for peers that missed them.
-const FULL_MS = 10_000
-// Beyond a few, each engine makes the time between reports longer, so that collecting costs the same however many there are.
-const ENGINES_AT_FULL_PACE = 8
-const EVERY_MS_PER_ENGINE = 150
+// Unchanged items are sent again after this time, for peers that missed them.
+const FULL_UPDATE_INTERVAL_MS = 10_000
+// Beyond this number, the interval grows with the number of engines, which bounds the cost of collecting.
+const ENGINES_AT_MIN_INTERVAL = 8
+const EXTRA_INTERVAL_MS_PER_ENGINE = 150
 
 export interface CollectorOptions {
   clock: Clock
@@ -24,13 +24,13 @@
   network: PeerNetwork
   engines: EngineClient
   table: RunnerTable
-  /** Instances that want an engine's reports. */
+  /** Returns the instances to which an engine's reports are relayed. */
   listInterested: (server: ListedInstance, items: readonly ResidentItem[]) => string[]
-  /** Least milliseconds between two reports of one engine. */
+  /** Minimum milliseconds between two reports of one engine. */
   reportWaitMs: number
 }
 
-/** Collects the reports of the engines that fall to this instance, one task for each, until the signal ends. */
+/** Collects reports of the engines assigned to this instance, with one task per engine, until the signal aborts. */
 export function startCollector (opts: CollectorOptions, signal: AbortSignal): void {
   const { view, network, table, clock } = opts
   const subscriptions = [
@@ -39,70 +39,70 @@
   ]
   table.applyServers(view.listServers(), clock.readTime())
   signal.addEventListener('abort', () => subscriptions.forEach((it) => it.unsubscribe()))
-  void keepAssigning(opts, signal)
+  void runAssignment(opts, signal)
 }
 
-async function keepAssigning (opts: CollectorOptions, signal: AbortSignal): Promise<void> {
+async function runAssignment (opts: CollectorOptions, signal: AbortSignal): Promise<void> {
   const tasks = new Map<string, AbortController>()
   signal.addEventListener('abort', () => tasks.forEach((task) => task.abort()))
   while (!signal.aborted) {
-    const own = new Map(opts.view.listServers().filter((server) => isCollected(opts, server)).map((server) => [server.id, server]))
+    const assigned = new Map(opts.view.listServers().filter((server) => isAssigned(opts, server)).map((server) => [server.id, server]))
     for (const [id, task] of tasks) {
-      if (own.has(id)) continue
+      if (assigned.has(id)) continue
       task.abort()
       tasks.delete(id)
     }
-    for (const [id, server] of own) {
+    for (const [id, server] of assigned) {
       if (tasks.has(id)) continue
       const task = new AbortController()
       tasks.set(id, task)
-      void collectFrom(opts, server, () => Math.max(opts.reportWaitMs, (tasks.size - ENGINES_AT_FULL_PACE) * EVERY_MS_PER_ENGINE), task.signal)
+      void collectReports(opts, server, () => Math.max(opts.reportWaitMs, (tasks.size - ENGINES_AT_MIN_INTERVAL) * EXTRA_INTERVAL_MS_PER_ENGINE), task.signal)
     }
-    await opts.clock.wait(REVIEW_MS, signal)
+    await opts.clock.wait(ASSIGNMENT_INTERVAL_MS, signal)
   }
 }
 
-function isCollected (opts: CollectorOptions, server: ListedInstance): boolean {
+function isAssigned (opts: CollectorOptions, server: ListedInstance): boolean {
   return server.role === InstanceRoles.ENGINE && opts.view.isOwner(`collect/${server.id}`)
 }
 
-/** What was last passed on about one engine. */
-interface Passed {
+/** What was last relayed about one engine. */
+interface RelayState {
   items: ResidentItem[]
-  fullAt: number
+  fullUpdateAt: number
   peers: ReadonlySet<string>
 }
 
-/** The task of one engine: ask for a report, pass it on, again. */
-async function collectFrom (opts: CollectorOptions, server: ListedInstance, getEveryMs: () => number, signal: AbortSignal): Promise<void> {
+/** Reads and relays the reports of one engine until the signal aborts. */
+async function collectReports (opts: CollectorOptions, server: ListedInstance, getIntervalMs: () => number, signal: AbortSignal): Promise<void> {
   let seq = 0
-  let passed: Passed = { items: [], fullAt: -Infinity, peers: new Set() }
-  let backoff = opts.reportWaitMs
+  let relayState: RelayState = { items: [], fullUpdateAt: -Infinity, peers: new Set() }
+  let backoffMs = opts.reportWaitMs
   while (!signal.aborted) {
-    const everyMs = getEveryMs()
-    const report = await opts.engines.readReport(server.address, seq, everyMs, signal)
+    const intervalMs = getIntervalMs()
+    const report = await opts.engines.readReport(server.address, seq, intervalMs, signal)
     if (signal.aborted) return
     if (report.isErr()) {
-      await opts.clock.wait(backoff, signal)
-      backoff = Math.min(MAX_BACKOFF_MS, backoff * 2)
+      await opts.clock.wait(backoffMs, signal)
+      backoffMs = Math.min(MAX_BACKOFF_MS, backoffMs * 2)
       continue
     }
-    backoff = opts.reportWaitMs
+    backoffMs = opts.reportWaitMs
     seq = report.value.seq
-    passed = passOn(opts, server, report.value, everyMs, passed)
+    relayState = relayReport(opts, server, report.value, intervalMs, relayState)
   }
 }
 
-/** Passes a report on; items only when they changed, for peers that are new to this engine, and now and then. */
-function passOn (opts: CollectorOptions, server: ListedInstance, report: EngineReport, everyMs: number, passed: Passed): Passed {
+/** Relays a report. Items are included when they changed, for new peers, and at regular intervals. */
+function relayReport (opts: CollectorOptions, server: ListedInstance, report: EngineReport, intervalMs: number, previous: RelayState): RelayState {
   const { life, seq, ageMs, running, waiting, slots, freeBytes, items, cacheEvents, cacheSeq } = report
   const now = opts.clock.readTime()
-  const update: RunnerUpdate = { server: server.id, life, seq, everyMs, ageMs, running, waiting, slots, freeBytes, cacheEvents, cacheSeq }
+  const update: RunnerUpdate = { server: server.id, life, seq, everyMs: intervalMs, ageMs, running, waiting, slots, freeBytes, cacheEvents, cacheSeq }
   opts.table.applyUpdate({ ...update, items }, now)
-  const isFull = now - passed.fullAt > FULL_MS || !equal(items, passed.items)
+  const isFullUpdateDue = now - previous.fullUpdateAt > FULL_UPDATE_INTERVAL_MS || !equal(items, previous.items)
   const peers = new Set(opts.listInterested(server, items).filter((peer) => peer !== opts.view.self.instance))
-  const whole = packUpdate({ ...update, items })
-  const short = packUpdate(update)
-  for (const peer of peers) opts.network.send(peer, RUNNER_UPDATES, isFull || !passed.peers.has(peer) ? whole : short)
-  return { items, fullAt: isFull ? now : passed.fullAt, peers }
+  const fullUpdate = packUpdate({ ...update, items })
+  const shortUpdate = packUpdate(update)
+  for (const peer of peers) opts.network.send(peer, RUNNER_UPDATES, isFullUpdateDue || !previous.peers.has(peer) ? fullUpdate : shortUpdate)
+  return { items, fullUpdateAt: isFullUpdateDue ? now : previous.fullUpdateAt, peers }
 }
--- a/routing/runners/test/runners.test.ts
+++ b/routing/runners/test/runners.test.ts
@@ -5,7 +5,7 @@
 import fc from 'fast-check'
 import { packUpdate, PrefixIndex, Runner, unpackUpdate, type RunnerUpdate } from '../src/index.js'
 
-function buildUpdate (change: Partial<RunnerUpdate> = {}): RunnerUpdate {
+function buildUpdate (overrides: Partial<RunnerUpdate> = {}): RunnerUpdate {
   return {
     server: 'e',
     life: '1',
@@ -18,7 +18,7 @@
     freeBytes: 0,
     cacheEvents: [],
     cacheSeq: 0,
-    ...change,
+    ...overrides,
   }
 }
 
@@ -27,10 +27,10 @@
 }
 
 describe('Runner', () => {
-  it('adds to a lagged report what this instance began and ended since', () => {
+  it('corrects a delayed report by the requests started and finished since', () => {
     const runner = createRunner()
     runner.noteStart('p', false, 10)
-    // Taken at 20, when one request of ours and two of others ran; it arrives at 50.
+    // Measured at 20 ms with one own request and two of other instances running; arrives at 50 ms.
     runner.applyUpdate(buildUpdate({ running: 3, ageMs: 30 }), 50)
     runner.noteStart('p', false, 60)
     runner.noteStart('p', false, 70)
@@ -46,14 +46,14 @@
     assert.equal(runner.estimateLoad(), 1)
   })
 
-  it('ignores a report that is older than the one it has, but not one of a new life', () => {
+  it('ignores a report older than the current one, unless the server was restarted', () => {
     const runner = createRunner()
     runner.applyUpdate(buildUpdate({ seq: 9, running: 4 }), 10)
     assert.equal(runner.applyUpdate(buildUpdate({ seq: 8, running: 1 }), 20), false)
     assert.equal(runner.applyUpdate(buildUpdate({ seq: 1, life: '2' }), 30), true)
   })
 
-  it('is silent only after several of its own intervals', () => {
+  it('is silent only after several missed reports', () => {
     const runner = createRunner()
     assert.equal(runner.isSilent(60_000), false, 'never reported')
     runner.applyUpdate(buildUpdate({ everyMs: 4_000 }), 0)
@@ -61,14 +61,14 @@
     assert.equal(runner.isSilent(13_000), true)
   })
 
-  it('is full when its places are taken, less those that will have ended', () => {
+  it('is full when its slots are occupied, allowing for requests that have probably finished', () => {
     const runner = createRunner()
     runner.applyUpdate(buildUpdate({ running: 8, waiting: 1 }), 0)
     assert.equal(runner.isFull(0), true)
     assert.equal(runner.isFull(100), false)
   })
 
-  it('has nothing ready that is being drained', () => {
+  it('reports an item as not ready while it is drained', () => {
     const runner = createRunner()
     runner.applyUpdate(buildUpdate({ items: [{ item: 'p/m@base', bytes: 1, state: 'ready' }] }), 0)
     assert.equal(runner.hasReady('p/m@base'), true)
@@ -80,33 +80,33 @@
 })
 
 describe('PrefixIndex', () => {
-  const store = (seq: number, blocks: number[]): CacheEvent => ({ seq, kind: 'stored', blocks })
+  const storeEvent = (seq: number, blocks: number[]): CacheEvent => ({ seq, kind: 'stored', blocks })
 
   it('counts leading blocks only', () => {
     const index = new PrefixIndex()
-    index.applyEvents([store(1, [1, 2, 4])], 1)
+    index.applyEvents([storeEvent(1, [1, 2, 4])], 1)
     assert.equal(index.countMatching([1, 2, 3, 4]), 2)
   })
 
-  it('trusts by half what it knew before a gap', () => {
+  it('counts blocks from before a gap half', () => {
     const index = new PrefixIndex()
-    index.applyEvents([store(1, [1, 2])], 1)
-    index.applyEvents([store(5, [3])], 5)
+    index.applyEvents([storeEvent(1, [1, 2])], 1)
+    index.applyEvents([storeEvent(5, [3])], 5)
     assert.equal(index.countMatching([1, 2]), 1)
     assert.equal(index.countMatching([3]), 1)
   })
 
-  it('notices a gap that only the newest number shows', () => {
+  it('detects a gap from the newest sequence number alone', () => {
     const index = new PrefixIndex()
-    index.applyEvents([store(1, [1])], 1)
+    index.applyEvents([storeEvent(1, [1])], 1)
     index.applyEvents([], 4)
-    index.applyEvents([store(5, [2])], 5)
+    index.applyEvents([storeEvent(5, [2])], 5)
     assert.equal(index.countMatching([1]), 0.5)
   })
 
-  it('forgets what was evicted or cleared', () => {
+  it('removes evicted and cleared blocks', () => {
     const index = new PrefixIndex()
-    index.applyEvents([store(1, [1, 2]), { seq: 2, kind: 'evicted', blocks: [2] }], 2)
+    index.applyEvents([storeEvent(1, [1, 2]), { seq: 2, kind: 'evicted', blocks: [2] }], 2)
     assert.equal(index.countMatching([1, 2]), 1)
     index.applyEvents([{ seq: 3, kind: 'cleared', blocks: [] }], 3)
     assert.equal(index.countMatching([1]), 0)
@@ -114,7 +114,7 @@
 })
 
 describe('packUpdate', () => {
-  it('gives back what was packed', async () => {
+  it('round-trips through unpackUpdate', async () => {
     const event = fc.record({ seq: fc.nat(), kind: fc.constantFrom('stored' as const, 'evicted' as const, 'cleared' as const), blocks: fc.array(fc.nat()) }, { noNullPrototype: true })
     const item = fc.record({ item: fc.string(), bytes: fc.nat(), state: fc.constantFrom('loading' as const, 'ready' as const) }, { noNullPrototype: true })
     await checkProperty([fc.array(event), fc.option(fc.array(item), { nil: undefined }), fc.nat()], (cacheEvents, items, running) => {
