--- a/gateway/callers/src/CallerGateway.ts
+++ b/gateway/callers/src/CallerGateway.ts
@@ -4,7 +4,7 @@
 import type { Clock } from '@pulleystack/core.clock'
 import { PulleystackError, convertToError } from '@pulleystack/core.errors'
 import { buildDirectoryAnswer, chooseSubset, computeSubsetSize } from '@pulleystack/directory.subset'
-import { Headers, parseBearer, sendError, sendJson } from '@pulleystack/gateway.http'
+import { HeaderNames, parseBearer, sendError, sendJson } from '@pulleystack/gateway.http'
 import { hashAccessKey } from '@pulleystack/core.hashing'
 import type { Member, MembershipView } from '@pulleystack/membership.view'
 import type { DemandMeter } from '@pulleystack/placement.demand'
@@ -32,7 +32,7 @@
   lifetimeSeconds: number
   leastInstances: number
   createId: () => string
-  /** Counts a finished request for metrics. */
+  /** Called once for each finished request, to update metrics. */
   onFinished: (finished: FinishedRequest) => void
 }
 
@@ -46,23 +46,23 @@
 
 const COMPLETION_PATHS: Readonly<Record<string, 'chat' | 'text'>> = { '/v1/chat/completions': 'chat', '/v1/completions': 'text' }
 
-/** Handles the requests of callers. */
+/** Serves the HTTP API for callers. */
 export class CallerGateway {
-  /** Requests that have arrived and are not answered yet. */
+  /** Number of requests that are being handled. */
   inFlight = 0
 
   constructor (private readonly opts: CallerGatewayOptions) {}
 
-  /** Instances that serve a service, best ranked first. */
+  /** Lists the instances that serve a service, highest ranked first. */
   listSubset (partner: string, service: string): Member[] {
-    const declared = this.opts.index.findObject(Kinds.SERVICE, partner, service)?.spec.requestsPerSecond
-    return chooseSubset(`${partner}/${service}`, this.opts.view.listEligible(), computeSubsetSize(declared, this.opts.leastInstances))
+    const requestsPerSecond = this.opts.index.findObject(Kinds.SERVICE, partner, service)?.spec.requestsPerSecond
+    return chooseSubset(`${partner}/${service}`, this.opts.view.listEligible(), computeSubsetSize(requestsPerSecond, this.opts.leastInstances))
   }
 
-  /** Answers one request; never throws. */
+  /** Handles one request; never throws. */
   async handle (request: http.IncomingMessage, response: http.ServerResponse, url: URL): Promise<void> {
     const id = this.opts.createId()
-    const since = this.opts.clock.readTime()
+    const arrivedAt = this.opts.clock.readTime()
     let partner = ''
     let code = 'OK'
     this.inFlight++
@@ -70,7 +70,7 @@
       const caller = this.authenticate(request)
       partner = caller.partner
       this.opts.ring.record(EventKinds.REQUEST_ACCEPTED, { request: id, partner, note: `${request.method} ${url.pathname}` })
-      await this.route({ id, caller, request, response, url, since, signal: createCallerSignal(response) })
+      await this.route({ id, caller, request, response, url, arrivedAt, signal: createCallerSignal(response) })
     } catch (thrown) {
       const error = convertToError(thrown)
       code = error.code
@@ -78,7 +78,7 @@
     } finally {
       this.inFlight--
     }
-    const ms = this.opts.clock.readTime() - since
+    const ms = this.opts.clock.readTime() - arrivedAt
     if (partner !== '') this.opts.ring.record(EventKinds.REQUEST_FINISHED, { request: id, partner, ms, note: code })
     this.opts.onFinished({ partner, route: describeRoute(url.pathname), status: response.statusCode, code, ms })
   }
@@ -86,9 +86,9 @@
   private authenticate (request: http.IncomingMessage): ConfigObject<'Caller'> {
     const key = parseBearer(request.headers)
     const caller = key === undefined ? undefined : this.opts.index.findCaller(hashAccessKey(key))
-    // Found by its SHA-256, so that the time taken tells nothing about keys that are nearly right.
+    // Looked up by its SHA-256 hash, so that response times don't reveal partially correct keys.
     if (caller) return caller
-    throw new PulleystackError('ACCESS_KEY_WRONG', 'The access key is missing or not known', { hint: 'Send it as "Authorization: Bearer KEY".' })
+    throw new PulleystackError('ACCESS_KEY_WRONG', 'The access key is missing or invalid', { hint: 'Send it as "Authorization: Bearer KEY".' })
   }
 
   private async route (context: RequestContext): Promise<void> {
@@ -105,35 +105,35 @@
       this.sendAddresses(context)
     } else if (pathname.startsWith('/services/')) {
       await handleServiceCall({ ...this.opts, admit: (it, service, body) => this.admit(it, service, body) }, context)
-    } else throw new PulleystackError('NOT_FOUND', `Nothing is at ${pathname}`)
+    } else throw new PulleystackError('NOT_FOUND', `No resource at ${pathname}`)
   }
 
-  /** Checks rates, and relays what another instance serves; true when the request was answered there. */
+  /** Relays a request for a service of other instances; otherwise checks rate limits. Returns true if another instance answered it. */
   private async admit (context: RequestContext, service: ConfigObject<'Service'>, body: Buffer | undefined): Promise<boolean> {
     const subset = this.listSubset(service.partner, service.name)
     const { self } = this.opts.view
-    const isOurs = subset.some((member) => member.instance === self.instance)
-    if (!isOurs && context.request.headers[Headers.RELAYED] === undefined) {
+    const isServedHere = subset.some((member) => member.instance === self.instance)
+    if (!isServedHere && context.request.headers[HeaderNames.RELAYED] === undefined) {
       for (const member of subset) {
         this.opts.ring.record(EventKinds.REQUEST_RELAYED, { request: context.id, server: member.instance })
         if (await relayRequest(context, { instance: member.instance, address: member.address }, self.instance, body)) return true
       }
     }
-    this.checkRates(context, service, Math.max(1, subset.length))
+    this.checkRateLimits(context, service, Math.max(1, subset.length))
     return false
   }
 
-  private checkRates (context: RequestContext, service: ConfigObject<'Service'>, instances: number): void {
+  private checkRateLimits (context: RequestContext, service: ConfigObject<'Service'>, instanceCount: number): void {
     const { caller } = context
     const name = `${caller.partner}/${caller.name}`
-    this.takeRate(`caller ${name}`, caller.spec.requestsPerSecond, instances)
-    this.takeRate(`service ${service.partner}/${service.name}`, service.spec.requestsPerSecond, instances)
+    this.checkRateLimit(`caller ${name}`, caller.spec.requestsPerSecond, instanceCount)
+    this.checkRateLimit(`service ${service.partner}/${service.name}`, service.spec.requestsPerSecond, instanceCount)
   }
 
-  private takeRate (name: string, perSecond: number | undefined, instances: number): void {
+  private checkRateLimit (name: string, perSecond: number | undefined, instanceCount: number): void {
     if (perSecond === undefined) return
-    const seconds = this.opts.rates.take(name, perSecond, instances, this.opts.clock.readTime())
-    if (seconds > 0) throw new PulleystackError('RATE_EXCEEDED', `The rate of ${name} is exceeded`, { retryAfterSeconds: Math.max(1, seconds) })
+    const waitSeconds = this.opts.rates.take(name, perSecond, instanceCount, this.opts.clock.readTime())
+    if (waitSeconds > 0) throw new PulleystackError('RATE_EXCEEDED', `The rate limit of ${name} is exceeded`, { retryAfterSeconds: Math.max(1, waitSeconds) })
   }
 
   private sendModels (context: RequestContext): void {
@@ -144,7 +144,7 @@
   private sendAddresses (context: RequestContext): void {
     const { searchParams } = context.url
     const service = searchParams.get('service')
-    if (!service) throw new PulleystackError('BAD_BODY', 'Say which service: /v1/addresses?service=NAME', { field: 'service' })
+    if (!service) throw new PulleystackError('BAD_BODY', 'Query parameter "service" is missing: /v1/addresses?service=NAME', { field: 'service' })
     findAllowedService(this.opts.index, context.caller, service)
     const { self } = this.opts.view
     sendJson(context.response, 200, buildDirectoryAnswer({
@@ -159,7 +159,7 @@
 
 function checkMethod (context: RequestContext, method: string): void {
   if (context.request.method === method) return
-  throw new PulleystackError('METHOD_NOT_ALLOWED', `${context.url.pathname} takes ${method}`)
+  throw new PulleystackError('METHOD_NOT_ALLOWED', `${context.url.pathname} only allows ${method}`)
 }
 
 function describeRoute (path: string): string {
--- a/gateway/callers/src/handleCompletion.ts
+++ b/gateway/callers/src/handleCompletion.ts
@@ -1,11 +1,11 @@
 import { PulleystackError, convertToError } from '@pulleystack/core.errors'
-import { Headers, parseJsonBody, readBody } from '@pulleystack/gateway.http'
+import { HeaderNames, parseJsonBody, readBody } from '@pulleystack/gateway.http'
 import type { DemandMeter } from '@pulleystack/placement.demand'
 import type { GenerateEnd, TokenSink } from '@pulleystack/backend.interfaces'
 import type { KeptOutcome } from '@pulleystack/routing.claims'
 import type { GenerationDispatcher, GenerationWork } from '@pulleystack/routing.dispatch'
-import { createChunkRenderer, parseCompletion, renderEnd, renderWhole, type CompletionFrame, type CompletionKind, type CompletionRequest } from './openaiFormat.js'
-import { readDeadline, readRepeatable, type RequestContext } from './RequestContext.js'
+import { createChunkRenderer, parseCompletionRequest, renderStreamEnd, renderCompletion, type CompletionMetadata, type CompletionKind, type CompletionRequest } from './openaiFormat.js'
+import { computeDeadline, isRepeatable, type RequestContext } from './RequestContext.js'
 import { resolveModel, type ModelTarget } from './resolveTarget.js'
 import { runOnce, type RunOnceOptions } from './runOnce.js'
 import type { ConfigIndex } from '@pulleystack/config.replica'
@@ -15,28 +15,28 @@
   generations: GenerationDispatcher
   meter: DemandMeter
   maxBodyBytes: number
-  /** Refuses or relays a request before it costs anything; true when it was answered elsewhere. */
+  /** Checks rate limits, or relays the request to an instance that serves the service. Returns true if that instance answered it. */
   admit: (context: RequestContext, service: ModelTarget['service'], body: Buffer) => Promise<boolean>
 }
 
-type RunGeneration = (sink: TokenSink) => Promise<GenerateEnd>
+type GenerationRunner = (sink: TokenSink) => Promise<GenerateEnd>
 
-/** Answers POST /v1/chat/completions and /v1/completions. */
+/** Handles POST /v1/chat/completions and POST /v1/completions. */
 export async function handleCompletion (opts: CompletionOptions, context: RequestContext, kind: CompletionKind): Promise<void> {
   const body = await readBody(context.request, opts.maxBodyBytes)
-  const completion = parseCompletion(kind, parseJsonBody(body))
+  const completion = parseCompletionRequest(kind, parseJsonBody(body))
   const target = resolveModel(opts.index, context.caller, completion.model)
   if (await opts.admit(context, target.service, body)) return
   const work = buildWork(context, completion, target)
   opts.meter.add(work.items[0] ?? '', completion.maxTokens)
-  const frame: CompletionFrame = { id: `cmpl-${context.id}`, created: Math.floor(opts.clock.readWallTime() / 1000), model: completion.model, kind }
-  const key = context.request.headers[Headers.IDEMPOTENCY]
+  const metadata: CompletionMetadata = { id: `cmpl-${context.id}`, created: Math.floor(opts.clock.readWallTime() / 1000), model: completion.model, kind }
+  const key = context.request.headers[HeaderNames.IDEMPOTENCY]
   if (work.repeatable || typeof key !== 'string') {
-    checkKeyGiven(target, work)
-    await runPlain(opts, context, completion, work, frame)
+    checkIdempotencyKey(target, work)
+    await runWithoutKey(opts, context, completion, work, metadata)
     return
   }
-  await runKeyed(opts, context, { completion, work, frame, key, body })
+  await runWithKey(opts, context, { completion, work, metadata, key, body })
 }
 
 function buildWork (context: RequestContext, completion: CompletionRequest, target: ModelTarget): GenerationWork {
@@ -46,8 +46,8 @@
     partner: context.caller.partner,
     service: service.name,
     serviceClass: service.spec.class,
-    deadline: readDeadline(context, service.spec),
-    repeatable: readRepeatable(context, service.spec, context.url.pathname),
+    deadline: computeDeadline(context, service.spec),
+    repeatable: isRepeatable(context, service.spec, context.url.pathname),
     signal: context.signal,
     items: target.items,
     adapter: target.adapter,
@@ -56,30 +56,30 @@
   }
 }
 
-function checkKeyGiven (target: ModelTarget, work: GenerationWork): void {
+function checkIdempotencyKey (target: ModelTarget, work: GenerationWork): void {
   if (work.repeatable || !target.service.spec.requireKey) return
-  throw new PulleystackError('KEY_MISSING', `Service "${target.service.name}" asks for an Idempotency-Key on work that may not be repeated`, { field: 'idempotency-key' })
+  throw new PulleystackError('KEY_MISSING', `Service "${target.service.name}" requires an Idempotency-Key for requests that may not be repeated`, { field: 'idempotency-key' })
 }
 
-async function runPlain (
+async function runWithoutKey (
   opts: CompletionOptions,
   context: RequestContext,
   completion: CompletionRequest,
   work: GenerationWork,
-  frame: CompletionFrame,
+  metadata: CompletionMetadata,
 ): Promise<void> {
-  const run: RunGeneration = (sink) => opts.generations.run(work, sink)
-  if (completion.stream) await streamAnswer(context, frame, run)
-  else sendWhole(context, await collectWhole(frame, run))
+  const run: GenerationRunner = (sink) => opts.generations.run(work, sink)
+  if (completion.stream) await streamResponse(context, metadata, run)
+  else sendOutcome(context, await collectResponse(metadata, run))
 }
 
-async function runKeyed (
+async function runWithKey (
   opts: CompletionOptions,
   context: RequestContext,
-  keyed: { completion: CompletionRequest, work: GenerationWork, frame: CompletionFrame, key: string, body: Buffer },
+  keyed: { completion: CompletionRequest, work: GenerationWork, metadata: CompletionMetadata, key: string, body: Buffer },
 ): Promise<void> {
-  const { completion, work, frame } = keyed
-  const once = {
+  const { completion, work, metadata } = keyed
+  const keyedRequest = {
     request: context.id,
     partner: work.partner,
     caller: context.caller.name,
@@ -90,44 +90,44 @@
     deadline: work.deadline,
     signal: context.signal,
   }
-  // A caller that goes away must not stop work that its repeat will ask for.
-  const lasting = { ...work, signal: new AbortController().signal }
-  const run: RunGeneration = (sink) => opts.generations.run(lasting, sink)
-  let streamed = false
-  const outcome = await runOnce(opts, once, async () => {
-    if (!completion.stream) return collectWhole(frame, run)
-    streamed = true
-    return streamAnswer(context, frame, run, true)
+  // Not cancelled when the caller disconnects: a retry with the same key needs the outcome.
+  const detachedWork = { ...work, signal: new AbortController().signal }
+  const run: GenerationRunner = (sink) => opts.generations.run(detachedWork, sink)
+  let wasStreamed = false
+  const outcome = await runOnce(opts, keyedRequest, async () => {
+    if (!completion.stream) return collectResponse(metadata, run)
+    wasStreamed = true
+    return streamResponse(context, metadata, run, true)
   })
-  if (streamed) return
+  if (wasStreamed) return
   if (completion.stream) replayStream(context, outcome)
-  else sendWhole(context, outcome)
+  else sendOutcome(context, outcome)
 }
 
-async function collectWhole (frame: CompletionFrame, run: RunGeneration): Promise<KeptOutcome> {
+async function collectResponse (metadata: CompletionMetadata, run: GenerationRunner): Promise<KeptOutcome> {
   let text = ''
   const end = await run((token) => {
     text += token.text
   })
-  return { status: 200, contentType: 'application/json', body: JSON.stringify(renderWhole(frame, text, end.finish, end.tokens)) }
+  return { status: 200, contentType: 'application/json', body: JSON.stringify(renderCompletion(metadata, text, end.finish, end.tokens)) }
 }
 
-function sendWhole (context: RequestContext, outcome: KeptOutcome): void {
+function sendOutcome (context: RequestContext, outcome: KeptOutcome): void {
   context.response.writeHead(outcome.status, {
     'content-type': outcome.contentType,
     'content-length': Buffer.byteLength(outcome.body ?? ''),
-    [Headers.REQUEST]: context.id,
+    [HeaderNames.REQUEST]: context.id,
   })
   context.response.end(outcome.body)
 }
 
-/** Sends pieces as they come. An answer that breaks ends with an error event and a cut connection, never with [DONE]. */
-async function streamAnswer (context: RequestContext, frame: CompletionFrame, run: RunGeneration, keep = false): Promise<KeptOutcome> {
+/** Streams tokens as server-sent events. A failed stream ends with an error event and a closed connection, never with [DONE]. */
+async function streamResponse (context: RequestContext, metadata: CompletionMetadata, run: GenerationRunner, mustRecord = false): Promise<KeptOutcome> {
   const { response } = context
-  const renderToken = createChunkRenderer(frame)
-  let kept = ''
+  const renderToken = createChunkRenderer(metadata)
+  let recorded = ''
   const write = (text: string): void | Promise<void> => {
-    if (keep) kept += text
+    if (mustRecord) recorded += text
     if (!response.destroyed && !response.write(text)) return waitForDrain(response)
   }
   try {
@@ -135,34 +135,34 @@
       if (!response.headersSent && !response.destroyed) response.writeHead(200, buildStreamHeaders(context))
       return write(renderToken(token.text))
     })
-    await write(renderEnd(frame, end.finish))
+    await write(renderStreamEnd(metadata, end.finish))
     response.end()
-    return { status: 200, contentType: 'text/event-stream', body: kept }
+    return { status: 200, contentType: 'text/event-stream', body: recorded }
   } catch (thrown) {
     const error = convertToError(thrown)
-    if (response.headersSent) await endBroken(context, error)
+    if (response.headersSent) await endBrokenStream(context, error)
     throw error
   }
 }
 
 function buildStreamHeaders (context: RequestContext) {
-  return { 'content-type': 'text/event-stream', 'cache-control': 'no-store', [Headers.REQUEST]: context.id }
+  return { 'content-type': 'text/event-stream', 'cache-control': 'no-store', [HeaderNames.REQUEST]: context.id }
 }
 
-function endBroken (context: RequestContext, error: PulleystackError): Promise<void> {
+function endBrokenStream (context: RequestContext, error: PulleystackError): Promise<void> {
   return new Promise((resolve) => {
-    const cut = (): void => {
+    const closeConnection = (): void => {
       context.response.destroy()
       resolve()
     }
-    context.response.write(`event: error\ndata: ${JSON.stringify(error.renderBody(context.id))}\n\n`, cut)
-    if (context.response.destroyed) cut()
+    context.response.write(`event: error\ndata: ${JSON.stringify(error.renderBody(context.id))}\n\n`, closeConnection)
+    if (context.response.destroyed) closeConnection()
   })
 }
 
 function replayStream (context: RequestContext, outcome: KeptOutcome): void {
   if (outcome.contentType !== 'text/event-stream') {
-    sendWhole(context, outcome)
+    sendOutcome(context, outcome)
     return
   }
   context.response.writeHead(200, buildStreamHeaders(context))
--- a/gateway/callers/src/openaiFormat.ts
+++ b/gateway/callers/src/openaiFormat.ts
@@ -3,8 +3,8 @@
 
 const DEFAULT_MAX_TOKENS = 128
 const MAX_TOKENS = 32_768
-// Stands for a token's text while a frame is rendered; no model's name can contain it.
-const MARK = '\u0000token\u0000'
+// Placeholder for a token's text in a pre-rendered chunk; must not occur in a model's name.
+const TOKEN_PLACEHOLDER = '\u0000token\u0000'
 
 const textSchema = z.union([z.string(), z.array(z.object({ type: z.literal('text'), text: z.string() }))])
 const commonFields = {
@@ -16,7 +16,7 @@
 const chatSchema = z.object({ ...commonFields, messages: z.array(z.object({ role: z.string().min(1).max(40), content: textSchema })).min(1).max(10_000) })
 const completionSchema = z.object({ ...commonFields, prompt: z.string().min(1) })
 
-/** A completion request, the same for both paths. */
+/** A parsed request to either of the completion endpoints. */
 export interface CompletionRequest {
   kind: 'chat' | 'text'
   model: string
@@ -27,17 +27,17 @@
 
 export type CompletionKind = CompletionRequest['kind']
 
-/** Reads a request's body; the error names the field. */
-export function parseCompletion (kind: CompletionKind, body: Record<string, unknown>): CompletionRequest {
+/** Parses the body of a completion request. Throws BAD_BODY with the name of the invalid field. */
+export function parseCompletionRequest (kind: CompletionKind, body: Record<string, unknown>): CompletionRequest {
   if (kind === 'chat') {
-    const chat = checkBody(chatSchema, body)
-    return { kind, prompt: chat.messages.map((message) => `${message.role}: ${readText(message.content)}`).join('\n'), ...readCommon(chat) }
+    const chat = parseBody(chatSchema, body)
+    return { kind, prompt: chat.messages.map((message) => `${message.role}: ${readText(message.content)}`).join('\n'), ...readCommonFields(chat) }
   }
-  const text = checkBody(completionSchema, body)
-  return { kind, prompt: text.prompt, ...readCommon(text) }
+  const completion = parseBody(completionSchema, body)
+  return { kind, prompt: completion.prompt, ...readCommonFields(completion) }
 }
 
-function readCommon (body: { model: string, max_tokens?: number, max_completion_tokens?: number, stream?: boolean }) {
+function readCommonFields (body: { model: string, max_tokens?: number, max_completion_tokens?: number, stream?: boolean }) {
   return { model: body.model, maxTokens: body.max_completion_tokens ?? body.max_tokens ?? DEFAULT_MAX_TOKENS, stream: body.stream ?? false }
 }
 
@@ -45,46 +45,46 @@
   return typeof content === 'string' ? content : content.map((part) => part.text).join('')
 }
 
-function checkBody<T> (schema: z.ZodType<T>, body: unknown): T {
-  const checked = schema.safeParse(body)
-  if (checked.success) return checked.data
-  const issue = checked.error.issues[0]
+function parseBody<T> (schema: z.ZodType<T>, body: unknown): T {
+  const parsed = schema.safeParse(body)
+  if (parsed.success) return parsed.data
+  const issue = parsed.error.issues[0]
   const field = issue?.path.join('.') ?? ''
-  throw new PulleystackError('BAD_BODY', `Field "${field}" is wrong: ${issue?.message}`, { field })
+  throw new PulleystackError('BAD_BODY', `Field "${field}" is invalid: ${issue?.message}`, { field })
 }
 
-/** Names of an answer that stay the same over its pieces. */
-export interface CompletionFrame {
+/** Fields that are the same in all chunks of a response. */
+export interface CompletionMetadata {
   id: string
   created: number
   model: string
   kind: CompletionKind
 }
 
-/** Makes the function that renders one token's event; what is the same in all of them is rendered once. */
-export function createChunkRenderer (frame: CompletionFrame): (text: string) => string {
-  const [before, after] = renderChunk(frame, MARK, null).split(JSON.stringify(MARK)) as [string, string]
+/** Creates a function that renders one token as an event. The common parts are rendered only once. */
+export function createChunkRenderer (metadata: CompletionMetadata): (text: string) => string {
+  const [before, after] = renderChunk(metadata, TOKEN_PLACEHOLDER, null).split(JSON.stringify(TOKEN_PLACEHOLDER)) as [string, string]
   return (text) => before + JSON.stringify(text) + after
 }
 
-/** The last events of a streamed answer; an answer without them is not whole. */
-export function renderEnd (frame: CompletionFrame, finish: string): string {
-  return `${renderChunk(frame, '', finish)}data: [DONE]\n\n`
+/** Renders the last events of a stream, which tell the client that it is complete. */
+export function renderStreamEnd (metadata: CompletionMetadata, finish: string): string {
+  return `${renderChunk(metadata, '', finish)}data: [DONE]\n\n`
 }
 
-function renderChunk (frame: CompletionFrame, text: string, finish: string | null): string {
-  const choice = frame.kind === 'chat'
+function renderChunk (metadata: CompletionMetadata, text: string, finish: string | null): string {
+  const choice = metadata.kind === 'chat'
     ? { index: 0, delta: text === '' ? {} : { content: text }, finish_reason: finish }
     : { index: 0, text, finish_reason: finish }
-  const object = frame.kind === 'chat' ? 'chat.completion.chunk' : 'text_completion'
-  return `data: ${JSON.stringify({ id: frame.id, object, created: frame.created, model: frame.model, choices: [choice] })}\n\n`
+  const object = metadata.kind === 'chat' ? 'chat.completion.chunk' : 'text_completion'
+  return `data: ${JSON.stringify({ id: metadata.id, object, created: metadata.created, model: metadata.model, choices: [choice] })}\n\n`
 }
 
-/** A whole answer. */
-export function renderWhole (frame: CompletionFrame, text: string, finish: string, tokens: number): object {
-  const choice = frame.kind === 'chat'
+/** Builds the body of a response that isn't streamed. */
+export function renderCompletion (metadata: CompletionMetadata, text: string, finish: string, tokens: number): object {
+  const choice = metadata.kind === 'chat'
     ? { index: 0, message: { role: 'assistant', content: text }, finish_reason: finish }
     : { index: 0, text, finish_reason: finish }
-  const object = frame.kind === 'chat' ? 'chat.completion' : 'text_completion'
-  return { id: frame.id, object, created: frame.created, model: frame.model, choices: [choice], usage: { completion_tokens: tokens } }
+  const object = metadata.kind === 'chat' ? 'chat.completion' : 'text_completion'
+  return { id: metadata.id, object, created: metadata.created, model: metadata.model, choices: [choice], usage: { completion_tokens: tokens } }
 }
--- a/gateway/callers/src/relayRequest.ts
+++ b/gateway/callers/src/relayRequest.ts
@@ -2,10 +2,10 @@
 import { pipeline } from 'node:stream/promises'
 import { parseAddress } from '@pulleystack/core.addresses'
 import { PulleystackError, Ran } from '@pulleystack/core.errors'
-import { Headers } from '@pulleystack/gateway.http'
+import { HeaderNames } from '@pulleystack/gateway.http'
 import type { RequestContext } from './RequestContext.js'
 
-const HOP_HEADERS = ['connection', 'keep-alive', 'transfer-encoding', 'host', 'expect', 'content-length']
+const HOP_BY_HOP_HEADERS = ['connection', 'keep-alive', 'transfer-encoding', 'host', 'expect', 'content-length']
 
 export interface RelayTarget {
   address: string
@@ -15,29 +15,30 @@
 const agent = new http.Agent({ keepAlive: true, maxSockets: 1_000 })
 
 /**
- * Sends a request on to an instance that serves its service; the hop header keeps it from going any further. True when
- * it was answered, false when the instance could not be reached, so that nothing of the request was received there.
+ * Relays a request to an instance that serves its service; a header keeps that instance from relaying it again. Returns
+ * false if no connection could be made and the caller may try another instance. Throws ATTEMPT_FAILED_NOT_RUN in that case
+ * if the body is a stream, and ATTEMPT_FAILED_UNKNOWN if the relay fails later.
  */
-export async function relayRequest (context: RequestContext, target: RelayTarget, from: string, body: Buffer | undefined): Promise<boolean> {
+export async function relayRequest (context: RequestContext, target: RelayTarget, sender: string, body: Buffer | undefined): Promise<boolean> {
   try {
-    const answer = await openRelay(context, target, from, body)
-    context.response.writeHead(answer.statusCode ?? 502, dropHopHeaders(answer.headers))
-    await pipeline(answer, context.response)
+    const response = await sendToInstance(context, target, sender, body)
+    context.response.writeHead(response.statusCode ?? 502, dropHopByHopHeaders(response.headers))
+    await pipeline(response, context.response)
     return true
   } catch (thrown) {
     if (thrown instanceof PulleystackError && thrown.ran === Ran.NO) {
-      // A body that streams has been read in part by now; nobody else can be sent the whole of it.
+      // A streamed body has been read in part and can't be sent again.
       if (body === undefined) throw thrown
       return false
     }
     if (context.response.headersSent) context.response.destroy()
-    throw new PulleystackError('ATTEMPT_FAILED_UNKNOWN', `The relay to ${target.instance} broke off`, { cause: thrown })
+    throw new PulleystackError('ATTEMPT_FAILED_UNKNOWN', `The connection to ${target.instance} failed while the request was relayed`, { cause: thrown })
   }
 }
 
-function openRelay (context: RequestContext, target: RelayTarget, from: string, body: Buffer | undefined): Promise<http.IncomingMessage> {
+function sendToInstance (context: RequestContext, target: RelayTarget, sender: string, body: Buffer | undefined): Promise<http.IncomingMessage> {
   const { request, url } = context
-  const headers: http.OutgoingHttpHeaders = { ...dropHopHeaders(request.headers), [Headers.RELAYED]: from }
+  const headers: http.OutgoingHttpHeaders = { ...dropHopByHopHeaders(request.headers), [HeaderNames.RELAYED]: sender }
   if (body) headers['content-length'] = body.length
   return new Promise((resolve, reject) => {
     const outgoing = http.request({
@@ -48,21 +49,21 @@
       agent,
       signal: context.signal,
     })
-    let connected = false
+    let isConnected = false
     outgoing.on('socket', (socket) => {
-      connected = !socket.connecting
-      if (connected) return
+      isConnected = !socket.connecting
+      if (isConnected) return
       socket.once('connect', () => {
-        connected = true
+        isConnected = true
       })
     })
     outgoing.on('response', resolve)
-    outgoing.on('error', (cause) => reject(connected ? cause : new PulleystackError('ATTEMPT_FAILED_NOT_RUN', `${target.instance} cannot be reached`, { cause })))
+    outgoing.on('error', (cause) => reject(isConnected ? cause : new PulleystackError('ATTEMPT_FAILED_NOT_RUN', `Instance ${target.instance} cannot be reached`, { cause })))
     if (body) outgoing.end(body)
     else request.pipe(outgoing)
   })
 }
 
-function dropHopHeaders (headers: http.IncomingHttpHeaders): http.OutgoingHttpHeaders {
-  return Object.fromEntries(Object.entries(headers).filter(([name]) => !HOP_HEADERS.includes(name)))
+function dropHopByHopHeaders (headers: http.IncomingHttpHeaders): http.OutgoingHttpHeaders {
+  return Object.fromEntries(Object.entries(headers).filter(([name]) => !HOP_BY_HOP_HEADERS.includes(name)))
 }
--- a/gateway/callers/src/resolveTarget.ts
+++ b/gateway/callers/src/resolveTarget.ts
@@ -4,34 +4,34 @@
 import { PulleystackError } from '@pulleystack/core.errors'
 import { BASE_VERSION } from '@pulleystack/config.objects'
 
-/** What a request to a model means. */
+/** The service, model and placement items that a model name resolves to. */
 export interface ModelTarget {
   service: ConfigObject<'Service'>
   model: ConfigObject<'Model'>
-  /** Items that may answer, best first: the active version, then others that may still be resident. */
+  /** Items that may answer, in order of preference: the active version, then other versions that may still be loaded. */
   items: string[]
   adapter?: string
 }
 
-/** A service of the caller's own partner that lets this caller in; the same error whether it is missing or closed. */
+/** Finds a service of the caller's partner. Throws SERVICE_UNKNOWN whether it doesn't exist or the caller isn't allowed to use it. */
 export function findAllowedService (index: ConfigIndex, caller: ConfigObject<'Caller'>, name: string): ConfigObject<'Service'> {
   const service = index.findObject(Kinds.SERVICE, caller.partner, name)
   if (service && matchLabels(service.spec.callers, caller.labels ?? {})) return service
-  throw new PulleystackError('SERVICE_UNKNOWN', `No service "${name}" is open to this caller`, { field: 'service' })
+  throw new PulleystackError('SERVICE_UNKNOWN', `Service "${name}" does not exist or is not available to this caller`, { field: 'service' })
 }
 
-/** Finds what a model's name stands for: `model`, `model@version` or the name of an adapter. */
+/** Resolves `model`, `model@version` or the name of an adapter. Throws MODEL_UNKNOWN if the caller has no access to such a model. */
 export function resolveModel (index: ConfigIndex, caller: ConfigObject<'Caller'>, name: string): ModelTarget {
   const target = findTarget(index, caller.partner, name)
   const service = target && index.findObject(Kinds.SERVICE, caller.partner, target.model.spec.service)
   if (target && service && matchLabels(service.spec.callers, caller.labels ?? {})) return { ...target, service }
-  throw new PulleystackError('MODEL_UNKNOWN', `No model or adapter "${name}" is open to this caller`, {
+  throw new PulleystackError('MODEL_UNKNOWN', `Model or adapter "${name}" does not exist or is not available to this caller`, {
     field: 'model',
-    hint: 'GET /v1/models lists what this caller may use.',
+    hint: 'GET /v1/models lists the models available to this caller.',
   })
 }
 
-/** Names of the models and adapters that a caller may use. */
+/** Lists the names of the models and adapters that a caller may use. */
 export function listAllowedModels (index: ConfigIndex, caller: ConfigObject<'Caller'>): string[] {
   const models = index.listObjects(Kinds.MODEL, caller.partner).filter((model) => {
     const service = index.findObject(Kinds.SERVICE, caller.partner, model.spec.service)
@@ -56,7 +56,7 @@
   if (version !== undefined) return [buildModelItem(model.partner, model.name, version)]
   const active = index.findActiveVersion(model.partner, model.name)?.name ?? BASE_VERSION
   const others = index.listObjects(Kinds.MODEL_VERSION, model.partner).filter((it) => it.spec.model === model.name).map((it) => it.name)
-  // While a new version loads, the old one goes on answering.
+  // Other versions keep serving while the active one is being loaded.
   const names = new Set([active, ...others, BASE_VERSION])
   return [...names].map((it) => buildModelItem(model.partner, model.name, it))
 }
--- a/gateway/callers/src/runOnce.ts
+++ b/gateway/callers/src/runOnce.ts
@@ -5,7 +5,7 @@
 import type { ClaimClient, ClaimRequest, KeptOutcome } from '@pulleystack/routing.claims'
 import { EventKinds, type EventRing } from '@pulleystack/timeline.events'
 
-const POLL_MS = 250
+const INITIAL_POLL_MS = 250
 const MAX_POLL_MS = 2_000
 
 export interface RunOnceOptions {
@@ -15,7 +15,7 @@
   ring: EventRing
 }
 
-export interface OnceRequest {
+export interface KeyedRequest {
   request: string
   partner: string
   caller: string
@@ -28,13 +28,13 @@
 }
 
 /**
- * Runs work under its Idempotency-Key: at most once over all instances. The first request claims the key, runs and
- * keeps its outcome; every other one gets that outcome. Errors that say `ran: no` free the key, all others keep it.
+ * Runs work at most once across all instances for an Idempotency-Key. The first request claims the key and stores its
+ * outcome, which all later ones get. An error with `ran: no` releases the key; after any other error it stays claimed.
  */
-export async function runOnce (opts: RunOnceOptions, once: OnceRequest, run: () => Promise<KeptOutcome>): Promise<KeptOutcome> {
-  const claim = buildClaim(opts, once)
-  const present = await takeClaim(opts, once, claim)
-  if (present) return present
+export async function runOnce (opts: RunOnceOptions, keyed: KeyedRequest, run: () => Promise<KeptOutcome>): Promise<KeptOutcome> {
+  const claim = buildClaim(opts, keyed)
+  const storedOutcome = await acquireClaim(opts, keyed, claim)
+  if (storedOutcome) return storedOutcome
   try {
     const outcome = await run()
     opts.claims.keepOutcome(claim, outcome)
@@ -43,70 +43,70 @@
     const error = convertToError(thrown)
     if (error.ran === Ran.NO) {
       opts.claims.release(claim)
-      opts.ring.record(EventKinds.CLAIM_RELEASED, { request: once.request, partner: once.partner })
+      opts.ring.record(EventKinds.CLAIM_RELEASED, { request: keyed.request, partner: keyed.partner })
     }
     throw error
   }
 }
 
-function buildClaim (opts: RunOnceOptions, once: OnceRequest): ClaimRequest {
-  const hash = createHash('sha256').update(`${once.method} ${once.path}\n`).update(once.body).digest('base64url')
-  // Callers choose their keys, so that one caller's must never meet another's.
-  const key = createHash('sha256').update(`${once.partner}/${once.caller}\n${once.key}`).digest('base64url')
-  return { key, hash, request: once.request, instance: opts.view.self.instance }
+function buildClaim (opts: RunOnceOptions, keyed: KeyedRequest): ClaimRequest {
+  const hash = createHash('sha256').update(`${keyed.method} ${keyed.path}\n`).update(keyed.body).digest('base64url')
+  // Scoped to the caller, since different callers may choose the same key.
+  const key = createHash('sha256').update(`${keyed.partner}/${keyed.caller}\n${keyed.key}`).digest('base64url')
+  return { key, hash, request: keyed.request, instance: opts.view.self.instance }
 }
 
-/** Undefined when the key is ours and the work may run; else the outcome that stands, or an error. */
-async function takeClaim (opts: RunOnceOptions, once: OnceRequest, claim: ClaimRequest): Promise<KeptOutcome | undefined> {
-  for (let pollMs = POLL_MS; ; pollMs = Math.min(MAX_POLL_MS, pollMs * 2)) {
-    const decision = await askForClaim(opts, once, claim)
+/** Returns undefined once this request holds the claim, or the stored outcome of an earlier one. Throws if neither is possible in time. */
+async function acquireClaim (opts: RunOnceOptions, keyed: KeyedRequest, claim: ClaimRequest): Promise<KeptOutcome | undefined> {
+  for (let pollMs = INITIAL_POLL_MS; ; pollMs = Math.min(MAX_POLL_MS, pollMs * 2)) {
+    const decision = await requestClaim(opts, keyed, claim)
     if (decision.kind === 'mismatch') {
-      throw new PulleystackError('KEY_REUSED', 'This Idempotency-Key was used with another request', { field: 'idempotency-key', hint: 'Use a fresh key for each new request.' })
+      throw new PulleystackError('KEY_REUSED', 'This Idempotency-Key was already used for a different request', { field: 'idempotency-key', hint: 'Use a new key for each request.' })
     }
     if (decision.kind === 'granted') {
-      opts.ring.record(EventKinds.CLAIM_COMMITTED, { request: once.request, partner: once.partner })
-      checkDeadline(opts, once, claim)
+      opts.ring.record(EventKinds.CLAIM_COMMITTED, { request: keyed.request, partner: keyed.partner })
+      checkDeadline(opts, keyed, claim)
       return undefined
     }
     if (decision.outcome) {
-      opts.ring.record(EventKinds.CLAIM_REPEATED, { request: once.request, partner: once.partner, note: `first was ${decision.request}` })
-      return checkKept(decision.outcome)
+      opts.ring.record(EventKinds.CLAIM_REPEATED, { request: keyed.request, partner: keyed.partner, note: `first was ${decision.request}` })
+      return checkOutcomeBody(decision.outcome)
     }
-    await waitForOutcome(opts, once, decision.instance, pollMs)
+    await waitForOutcome(opts, keyed, decision.instance, pollMs)
   }
 }
 
-async function askForClaim (opts: RunOnceOptions, once: OnceRequest, claim: ClaimRequest) {
+async function requestClaim (opts: RunOnceOptions, keyed: KeyedRequest, claim: ClaimRequest) {
   try {
-    return await opts.claims.claim(claim, once.deadline)
+    return await opts.claims.claim(claim, keyed.deadline)
   } catch (thrown) {
-    // The claim may have been written all the same; nothing was sent, so it must not block the key.
+    // The claim may have been written despite the error. Nothing was sent, so the key must not stay claimed.
     opts.claims.release(claim)
     throw thrown
   }
 }
 
-function checkDeadline (opts: RunOnceOptions, once: OnceRequest, claim: ClaimRequest): void {
-  if (opts.clock.readTime() < once.deadline && !once.signal.aborted) return
+function checkDeadline (opts: RunOnceOptions, keyed: KeyedRequest, claim: ClaimRequest): void {
+  if (opts.clock.readTime() < keyed.deadline && !keyed.signal.aborted) return
   opts.claims.release(claim)
-  throw new PulleystackError('DEADLINE_NOT_RUN', 'The deadline passed while the claim was written')
+  throw new PulleystackError('DEADLINE_NOT_RUN', 'The deadline passed or the caller disconnected while the claim was being written')
 }
 
-async function waitForOutcome (opts: RunOnceOptions, once: OnceRequest, instance: string, pollMs: number): Promise<void> {
+async function waitForOutcome (opts: RunOnceOptions, keyed: KeyedRequest, instance: string, pollMs: number): Promise<void> {
   const holder = opts.view.findMember(instance)
   if (!holder || holder.state === 'suspect') {
-    throw new PulleystackError('CLAIM_OUTCOME_UNKNOWN', 'The instance that took this request is gone; whether it ran is not known', {
-      hint: 'It will not run again under this key.',
+    throw new PulleystackError('CLAIM_OUTCOME_UNKNOWN', 'The instance that accepted the first request with this key is unavailable; it is unknown whether the request ran', {
+      hint: 'It will not be run again with this key.',
     })
   }
-  if (opts.clock.readTime() + pollMs >= once.deadline) {
+  if (opts.clock.readTime() + pollMs >= keyed.deadline) {
     throw new PulleystackError('CLAIM_IN_PROGRESS', 'The first request with this Idempotency-Key is still running', { retryAfterSeconds: 2 })
   }
-  await opts.clock.wait(pollMs, once.signal)
-  if (once.signal.aborted) throw new PulleystackError('CALLER_GONE', 'The caller went away')
+  await opts.clock.wait(pollMs, keyed.signal)
+  if (keyed.signal.aborted) throw new PulleystackError('CALLER_GONE', 'The caller disconnected')
 }
 
-function checkKept (outcome: KeptOutcome): KeptOutcome {
+function checkOutcomeBody (outcome: KeptOutcome): KeptOutcome {
   if (outcome.body !== undefined) return outcome
-  throw new PulleystackError('CLAIM_OUTCOME_TOO_LARGE', `The first request ran and was answered with status ${outcome.status}; the answer was too large to keep`)
+  throw new PulleystackError('CLAIM_OUTCOME_TOO_LARGE', `The first request with this Idempotency-Key was answered with status ${outcome.status}; its response was too large to store`)
 }
--- a/gateway/callers/test/relayRequest.test.ts
+++ b/gateway/callers/test/relayRequest.test.ts
@@ -6,11 +6,11 @@
 import { buildCaller } from '@pulleystack/tools.testing'
 import { relayRequest } from '../src/relayRequest.js'
 
-const NOBODY = { instance: 'gone', address: '127.0.0.1:1' }
+const UNREACHABLE_TARGET = { instance: 'gone', address: '127.0.0.1:1' }
 
-/** Relays one request to an instance that isn't there; gives what came of it. */
-async function relayToNobody (isKept: boolean): Promise<boolean | PulleystackError> {
-  const result = createDeferred()
+/** Relays one request to an instance that can't be reached; resolves to the result or the error. */
+async function relayToUnreachable (isBuffered: boolean): Promise<boolean | PulleystackError> {
+  const deferred = createDeferred()
   const server = http.createServer((request, response) => {
     const context = {
       id: 'r',
@@ -18,18 +18,18 @@
       request,
       response,
       url: new URL('http://x/services/s/'),
-      since: 0,
+      arrivedAt: 0,
       signal: new AbortController().signal,
     }
-    relayRequest(context, NOBODY, 'a', isKept ? Buffer.from('body') : undefined)
-      .then(result.resolve, (thrown: unknown) => result.resolve(convertToError(thrown)))
+    relayRequest(context, UNREACHABLE_TARGET, 'a', isBuffered ? Buffer.from('body') : undefined)
+      .then(deferred.resolve, (thrown: unknown) => deferred.resolve(convertToError(thrown)))
       .finally(() => response.end())
   })
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve))
   const request = http.request({ port: (server.address() as AddressInfo).port, host: '127.0.0.1', method: 'POST', agent: false })
   request.on('error', () => undefined)
   request.end('body')
-  const outcome = await result.promise
+  const outcome = await deferred.promise
   server.close()
   server.closeAllConnections()
   return outcome
@@ -44,13 +44,13 @@
 }
 
 describe('relayRequest', () => {
-  it('leaves a request whose body is kept to be served elsewhere when the instance can\'t be reached', async () => {
-    assert.equal(await relayToNobody(true), false)
+  it('returns false for a request with a buffered body when the instance can\'t be reached', async () => {
+    assert.equal(await relayToUnreachable(true), false)
   })
 
-  // Served here, it would have gone on to a backend server without the part that was read for the relay.
-  it('refuses a request whose body streams, and says that it did not run', async () => {
-    const outcome = await relayToNobody(false)
+  // The part of the body that was already read would be missing if another instance served it.
+  it('throws an error with `ran: no` for a request with a streamed body', async () => {
+    const outcome = await relayToUnreachable(false)
     assert.ok(typeof outcome !== 'boolean')
     assert.deepEqual([outcome.code, outcome.ran], ['ATTEMPT_FAILED_NOT_RUN', 'no'])
   })
--- a/gateway/http/src/headers.ts
+++ b/gateway/http/src/headers.ts
@@ -1,15 +1,15 @@
 import type http from 'node:http'
 import { PulleystackError } from '@pulleystack/core.errors'
 
-const BEARER = /^Bearer +([\x21-\x7e]{1,200})$/i
+const BEARER_PATTERN = /^Bearer +([\x21-\x7e]{1,200})$/i
 
-/** The access key of a request; undefined when there is none. */
+/** Returns the bearer token of the Authorization header; undefined when it is missing or malformed. */
 export function parseBearer (headers: http.IncomingHttpHeaders): string | undefined {
-  return BEARER.exec(headers.authorization ?? '')?.[1]
+  return BEARER_PATTERN.exec(headers.authorization ?? '')?.[1]
 }
 
-/** A header that holds a positive number of at most `max`; undefined when absent. */
-export function parsePositiveHeader (headers: http.IncomingHttpHeaders, name: string, max: number): number | undefined {
+/** Parses a header that holds a whole number from 1 to `max`; undefined when it is absent. Throws BAD_HEADER for any other value. */
+export function parsePositiveIntegerHeader (headers: http.IncomingHttpHeaders, name: string, max: number): number | undefined {
   const text = headers[name]
   if (text === undefined) return undefined
   const value = Number(text)
@@ -17,8 +17,8 @@
   throw new PulleystackError('BAD_HEADER', `Header "${name}" must be a whole number from 1 to ${max}`, { field: name })
 }
 
-/** What the caller says about repeating; undefined leaves it to the service's rules. */
-export function parseRepeatable (headers: http.IncomingHttpHeaders, name: string): boolean | undefined {
+/** Parses a header that holds `yes` or `no`; undefined when it is absent. Throws BAD_HEADER for any other value. */
+export function parseYesNoHeader (headers: http.IncomingHttpHeaders, name: string): boolean | undefined {
   const text = headers[name]
   if (text === undefined) return undefined
   if (text === 'yes' || text === 'no') return text === 'yes'
--- a/gateway/http/src/responses.ts
+++ b/gateway/http/src/responses.ts
@@ -1,8 +1,8 @@
 import type http from 'node:http'
 import type { PulleystackError } from '@pulleystack/core.errors'
 
-/** Headers of the program's own, in lower case. */
-export const Headers = {
+/** Names of the headers that this program defines, in lower case. */
+export const HeaderNames = {
   REQUEST: 'pulleystack-request',
   RAN: 'pulleystack-ran',
   REPEATABLE: 'pulleystack-repeatable',
@@ -17,16 +17,16 @@
   response.end(body)
 }
 
-/** Answers with an error, or cuts an answer that has begun so that nobody takes it for whole. */
+/** Sends an error response. If a response has already started, destroys its connection so that the client can tell it is incomplete. */
 export function sendError (response: http.ServerResponse, error: PulleystackError, requestId?: string): void {
   if (response.headersSent) {
     response.destroy()
     return
   }
-  const headers: http.OutgoingHttpHeaders = { [Headers.RAN]: error.ran }
-  if (requestId !== undefined) headers[Headers.REQUEST] = requestId
+  const headers: http.OutgoingHttpHeaders = { [HeaderNames.RAN]: error.ran }
+  if (requestId !== undefined) headers[HeaderNames.REQUEST] = requestId
   if (error.retryAfterSeconds !== undefined) headers['retry-after'] = String(Math.ceil(error.retryAfterSeconds))
-  // What is left of a body that was not read would be taken for the next request.
+  // Unread bytes of the body would be parsed as the next request on this connection.
   if (!response.req.complete) headers['connection'] = 'close'
   sendJson(response, error.row.status, error.renderBody(requestId), headers)
 }
