--- a/gateway/admin/src/AdminGateway.ts
+++ b/gateway/admin/src/AdminGateway.ts
@@ -7,7 +7,7 @@
 import { parseBearer, parseJsonBody, readBody, sendError, sendJson } from '@pulleystack/gateway.http'
 import { matchKeyHash } from '@pulleystack/membership.keys'
 import type { TimelineEvent } from '@pulleystack/timeline.events'
-import { filterForPartner, type TimelineFilter } from '@pulleystack/timeline.merge'
+import { isVisibleToPartner, type TimelineFilter } from '@pulleystack/timeline.merge'
 import type { ConfigWriter } from './ConfigWriter.js'
 import type { Explanation } from './explainRequest.js'
 import type { RouteExplanation } from './explainRoute.js'
@@ -21,7 +21,7 @@
   collectTimeline: (filter: TimelineFilter) => Promise<TimelineEvent[]>
   collectStatus: () => Promise<unknown>
   explain: (partner: string, caller: string, target: { model?: string, service?: string }) => Promise<Explanation>
-  /** Routes of one partner only; of all when none is given. */
+  /** Explains only routes of `partner`; any route when it is undefined. */
   explainRoute: (partner: string | undefined, host: string, path: string) => RouteExplanation
 }
 
@@ -31,11 +31,11 @@
   url: URL
 }
 
-type AdminRoute = (admin: AdminRequest) => Promise<unknown>
+type AdminHandler = (admin: AdminRequest) => Promise<unknown>
 
-/** Handles the requests of operators under /admin. An operator sees and changes its own partner's objects only. */
+/** Serves the HTTP API for operators under /admin. An operator can see and change only the objects of its own partner. */
 export class AdminGateway {
-  private readonly routes: Readonly<Record<string, AdminRoute>> = {
+  private readonly routes: Readonly<Record<string, AdminHandler>> = {
     'POST /admin/apply': (admin) => this.apply(admin),
     'POST /admin/label': (admin) => this.label(admin),
     'GET /admin/objects': (admin) => this.list(admin),
@@ -48,13 +48,13 @@
 
   constructor (private readonly opts: AdminGatewayOptions) {}
 
-  /** Answers one request; never throws. */
+  /** Handles one request; never throws. */
   async handle (request: http.IncomingMessage, response: http.ServerResponse, url: URL): Promise<void> {
     try {
       const operator = this.authenticate(request)
-      const route = this.routes[`${request.method} ${url.pathname}`]
-      if (!route) throw new PulleystackError('NOT_FOUND', `Nothing is at ${request.method} ${url.pathname}`)
-      sendJson(response, 200, await route({ operator, request, url }))
+      const handler = this.routes[`${request.method} ${url.pathname}`]
+      if (!handler) throw new PulleystackError('NOT_FOUND', `No resource at ${request.method} ${url.pathname}`)
+      sendJson(response, 200, await handler({ operator, request, url }))
     } catch (thrown) {
       if (!response.destroyed) sendError(response, convertToError(thrown))
     }
@@ -62,17 +62,17 @@
 
   private authenticate (request: http.IncomingMessage): Operator {
     const key = parseBearer(request.headers)
-    // All are compared, so that the time taken does not tell which operator a guess came near to.
-    const matching = key === undefined ? [] : this.opts.operators.filter((operator) => matchKeyHash(key, operator.keyHashes))
-    const operator = matching[0]
+    // Compares with every operator, so that response times don't reveal a partial match.
+    const matches = key === undefined ? [] : this.opts.operators.filter((operator) => matchKeyHash(key, operator.keyHashes))
+    const operator = matches[0]
     if (operator) return { name: operator.name, partner: operator.partner }
-    throw new PulleystackError('ACCESS_KEY_WRONG', 'The operator\'s key is missing or not known', { hint: 'Set PULLEYSTACK_KEY or give --key.' })
+    throw new PulleystackError('ACCESS_KEY_WRONG', 'The operator key is missing or invalid', { hint: 'Set PULLEYSTACK_KEY or pass --key.' })
   }
 
   private async apply (admin: AdminRequest): Promise<unknown> {
     const body = parseJsonBody(await readBody(admin.request, this.opts.maxBodyBytes))
     const objects = Array.isArray(body.objects) ? body.objects as unknown[] : []
-    if (objects.length === 0) throw new PulleystackError('BAD_BODY', 'Field "objects" must be a list of objects', { field: 'objects' })
+    if (objects.length === 0) throw new PulleystackError('BAD_BODY', 'Field "objects" must be a non-empty array of objects', { field: 'objects' })
     const parsed = objects.map((object) => parseConfigObject(object))
     for (const result of parsed) {
       if (result.isErr()) throw result.error
@@ -86,13 +86,13 @@
     return { dryRun, results }
   }
 
-  private async applyOne (object: ConfigObject, operator: Operator, opts: { dryRun: boolean, expectedVersion?: number }, done: number) {
+  private async applyOne (object: ConfigObject, operator: Operator, opts: { dryRun: boolean, expectedVersion?: number }, appliedCount: number) {
     try {
       return await this.opts.writer.apply(object, operator, opts)
     } catch (thrown) {
       const error = convertToError(thrown)
-      // Those before stand; the reader must know how far it came.
-      const message = `${object.kind} ${object.name}: ${error.message}${done > 0 ? ` (${done} objects before it were applied)` : ''}`
+      // Objects before the failed one stay applied, so the message says how many.
+      const message = `${object.kind} ${object.name}: ${error.message}${appliedCount > 0 ? ` (${appliedCount} objects before it were already applied)` : ''}`
       throw new PulleystackError(error.code, message, { field: error.field, hint: error.hint, details: error.details, ran: error.ran, cause: error })
     }
   }
@@ -112,22 +112,22 @@
 
   private async list (admin: AdminRequest): Promise<unknown> {
     const { searchParams } = admin.url
-    const objects = [...this.opts.replica.listObjects()].filter((object) => canSee(admin.operator, object) && matchParams(object, searchParams))
+    const objects = [...this.opts.replica.listObjects()].filter((object) => canSee(admin.operator, object) && matchQuery(object, searchParams))
     objects.sort((a, b) => `${a.kind}/${a.partner}/${a.name}`.localeCompare(`${b.kind}/${b.partner}/${b.name}`))
     return { objects: objects.map((object) => ({ ...object, version: this.opts.index.getVersion(object.kind, object.partner, object.name) })) }
   }
 
   private async readStatus (admin: AdminRequest): Promise<unknown> {
     const { partner } = admin.operator
-    const own = this.opts.replica.listRejections().filter((it) => partner === PLATFORM_PARTNER || it.key.split('/')[2] === partner)
-    const rejected = own.map(({ key, version, error }) => ({ key, version, error: error.message, field: error.field }))
+    const visibleRejections = this.opts.replica.listRejections().filter((it) => partner === PLATFORM_PARTNER || it.key.split('/')[2] === partner)
+    const rejected = visibleRejections.map(({ key, version, error }) => ({ key, version, error: error.message, field: error.field }))
     return { instances: await this.opts.collectStatus(), rejected }
   }
 
   private async explain (admin: AdminRequest): Promise<unknown> {
     const { searchParams } = admin.url
     const partner = searchParams.get('partner') ?? admin.operator.partner
-    if (partner !== admin.operator.partner && admin.operator.partner !== PLATFORM_PARTNER) throw createDenied(partner)
+    if (partner !== admin.operator.partner && admin.operator.partner !== PLATFORM_PARTNER) throw createAccessDeniedError(partner)
     const target = { model: searchParams.get('model') ?? undefined, service: searchParams.get('service') ?? undefined }
     return this.opts.explain(partner, searchParams.get('caller') ?? '', target)
   }
@@ -143,26 +143,26 @@
     const { request, order, object, partner, server, model } = params
     const filter: TimelineFilter = { request, order, object, partner, server, model, limit: params.limit === undefined ? undefined : Number(params.limit) }
     const events = await this.opts.collectTimeline(filter)
-    return { events: admin.operator.partner === PLATFORM_PARTNER ? events : events.filter((event) => filterForPartner(event, admin.operator.partner)) }
+    return { events: admin.operator.partner === PLATFORM_PARTNER ? events : events.filter((event) => isVisibleToPartner(event, admin.operator.partner)) }
   }
 }
 
 function readTarget (fields: Record<string, unknown>): { kind: Kind, partner: string, name: string } {
   const { kind, partner, name } = fields
-  if (!(Object.values(Kinds) as unknown[]).includes(kind)) throw new PulleystackError('BAD_BODY', `There is no kind "${String(kind)}"`, { field: 'kind', hint: Object.values(Kinds).join(', ') })
-  if (typeof partner !== 'string' || typeof name !== 'string') throw new PulleystackError('BAD_BODY', 'Say which partner and name', { field: 'name' })
+  if (!(Object.values(Kinds) as unknown[]).includes(kind)) throw new PulleystackError('BAD_BODY', `Unknown kind "${String(kind)}"`, { field: 'kind', hint: Object.values(Kinds).join(', ') })
+  if (typeof partner !== 'string' || typeof name !== 'string') throw new PulleystackError('BAD_BODY', 'Fields "partner" and "name" must be strings', { field: 'name' })
   return { kind: kind as Kind, partner, name }
 }
 
-/** Quotas are the platform's, but the partner may read its own. */
+/** Operators of the platform see all objects; others see those of their partner, including its quotas. */
 function canSee (operator: Operator, object: ConfigObject): boolean {
   return operator.partner === PLATFORM_PARTNER || object.partner === operator.partner
 }
 
-function matchParams (object: ConfigObject, params: URLSearchParams): boolean {
+function matchQuery (object: ConfigObject, params: URLSearchParams): boolean {
   return (['kind', 'partner', 'name'] as const).every((field) => !params.has(field) || params.get(field) === object[field])
 }
 
-function createDenied (partner: string): PulleystackError {
-  return new PulleystackError('ACCESS_DENIED', `Objects of "${partner}" are not yours to see`)
+function createAccessDeniedError (partner: string): PulleystackError {
+  return new PulleystackError('ACCESS_DENIED', `This operator has no access to objects of "${partner}"`)
 }
--- a/gateway/admin/src/ConfigWriter.ts
+++ b/gateway/admin/src/ConfigWriter.ts
@@ -27,86 +27,86 @@
   name: string
 }
 
-type Standing = Pick<StoredObject, 'version'> & { object: ConfigObject | undefined }
+type CurrentObject = Pick<StoredObject, 'version'> & { object: ConfigObject | undefined }
 
-const MAX_TRIES = 4
+const MAX_WRITE_ATTEMPTS = 4
 
-/** Writes accepted changes to the object API by conditional updates. */
+/** Writes admitted configuration changes to the object API with conditional writes. */
 export class ConfigWriter {
   constructor (private readonly opts: ConfigWriterOptions) {}
 
   /**
-   * Merges what is asked for into what stands and writes it. Fields that somebody else set are kept. When somebody
-   * changes the same fields between our reading and writing, the request fails and shows what they changed.
+   * Merges the desired object into the current one and writes the result. Fields set by other writers are kept. Throws
+   * VERSION_CONFLICT with the differences if another writer changes the same fields between the read and the write.
    */
-  async apply (wanted: ConfigObject, operator: Operator, opts: { dryRun: boolean, expectedVersion?: number }): Promise<ApplyResult> {
-    const key = buildObjectKey(wanted.kind, wanted.partner, wanted.name)
-    let first: Standing | undefined
-    for (let tries = 0; tries < MAX_TRIES; tries++) {
-      const standing = await this.read(key)
-      first ??= standing
-      checkExpected(key, standing, opts.expectedVersion)
-      const next = buildNext(wanted, standing.object)
-      checkOverlap(key, first, standing, wanted)
+  async apply (desired: ConfigObject, operator: Operator, opts: { dryRun: boolean, expectedVersion?: number }): Promise<ApplyResult> {
+    const key = buildObjectKey(desired.kind, desired.partner, desired.name)
+    let initial: CurrentObject | undefined
+    for (let attempt = 0; attempt < MAX_WRITE_ATTEMPTS; attempt++) {
+      const current = await this.read(key)
+      initial ??= current
+      checkExpectedVersion(key, current, opts.expectedVersion)
+      const next = buildNext(desired, current.object)
+      checkConcurrentChanges(key, initial, current, desired)
       await this.admit(next, operator)
-      const differences = listDifferences(strip(standing.object), strip(next))
-      if (differences.length === 0) return { key, action: 'unchanged', version: standing.version, differences }
-      const action = standing.object ? 'changed' as const : 'created' as const
-      if (opts.dryRun) return { key, action, version: standing.version, differences }
-      const version = await this.write(key, next, standing.version)
+      const differences = listDifferences(pickUserFields(current.object), pickUserFields(next))
+      if (differences.length === 0) return { key, action: 'unchanged', version: current.version, differences }
+      const action = current.object ? 'changed' as const : 'created' as const
+      if (opts.dryRun) return { key, action, version: current.version, differences }
+      const version = await this.write(key, next, current.version)
       if (version !== undefined) return { key, action, version, differences }
     }
-    throw new PulleystackError('VERSION_CONFLICT', `${key} is being changed by others all the time`, { retryAfterSeconds: 1 })
+    throw new PulleystackError('VERSION_CONFLICT', `${key} was changed by other writers at every attempt`, { retryAfterSeconds: 1 })
   }
 
-  /** Sets and removes labels (null removes), leaving all else as it stands. */
+  /** Sets labels, or removes those that are null. */
   async label (target: Target, labels: Record<string, string | null>, operator: Operator): Promise<ApplyResult> {
     const key = buildObjectKey(target.kind, target.partner, target.name)
-    for (let tries = 0; tries < MAX_TRIES; tries++) {
-      const standing = await this.read(key)
-      if (!standing.object) throw createUnknown(key)
-      const merged = Object.entries({ ...standing.object.labels, ...labels }).filter((it): it is [string, string] => it[1] !== null)
-      const next = { ...standing.object, labels: Object.fromEntries(merged) }
+    for (let attempt = 0; attempt < MAX_WRITE_ATTEMPTS; attempt++) {
+      const current = await this.read(key)
+      if (!current.object) throw createUnknownObjectError(key)
+      const merged = Object.entries({ ...current.object.labels, ...labels }).filter((it): it is [string, string] => it[1] !== null)
+      const next = { ...current.object, labels: Object.fromEntries(merged) }
       await this.admit(next, operator)
-      const differences = listDifferences(strip(standing.object), strip(next))
-      if (differences.length === 0) return { key, action: 'unchanged', version: standing.version, differences }
-      const version = await this.write(key, next, standing.version)
+      const differences = listDifferences(pickUserFields(current.object), pickUserFields(next))
+      if (differences.length === 0) return { key, action: 'unchanged', version: current.version, differences }
+      const version = await this.write(key, next, current.version)
       if (version !== undefined) return { key, action: 'changed', version, differences }
     }
-    throw new PulleystackError('VERSION_CONFLICT', `${key} is being changed by others all the time`, { retryAfterSeconds: 1 })
+    throw new PulleystackError('VERSION_CONFLICT', `${key} was changed by other writers at every attempt`, { retryAfterSeconds: 1 })
   }
 
   async remove (target: Target, operator: Operator, expectedVersion: number | undefined): Promise<ApplyResult> {
     const key = buildObjectKey(target.kind, target.partner, target.name)
-    const allowed = admitDeletion(target, operator, this.opts.view)
-    if (allowed.isErr()) throw allowed.error
-    const standing = await this.read(key)
-    if (!standing.object) throw createUnknown(key)
-    checkExpected(key, standing, expectedVersion)
-    const deleted = await this.opts.store.deleteObject(key, standing.version)
-    if (deleted.isErr()) throw await this.explainFailedDeletion(key, standing.version, deleted.error)
+    const admission = admitDeletion(target, operator, this.opts.view)
+    if (admission.isErr()) throw admission.error
+    const current = await this.read(key)
+    if (!current.object) throw createUnknownObjectError(key)
+    checkExpectedVersion(key, current, expectedVersion)
+    const deleted = await this.opts.store.deleteObject(key, current.version)
+    if (deleted.isErr()) throw await this.explainFailedDeletion(key, current.version, deleted.error)
     this.opts.replica.applyEntry({ key, version: deleted.value, value: undefined })
     this.opts.ring.record(EventKinds.CONFIG_APPLIED, { object: key, partner: target.partner, version: deleted.value, note: 'deleted' })
     return { key, action: 'deleted', version: deleted.value, differences: [] }
   }
 
-  private async read (key: string): Promise<Standing> {
+  private async read (key: string): Promise<CurrentObject> {
     const read = await this.opts.store.readObject(key)
     if (read.isErr()) throw read.error
     return { version: read.value?.version ?? 0, object: read.value?.value as ConfigObject | undefined }
   }
 
   private async admit (object: ConfigObject, operator: Operator): Promise<void> {
-    const admitted = admitObject(object, operator, this.opts.view)
-    if (admitted.isOk()) return
-    // What is missing here may have been accepted elsewhere a moment ago.
-    if (admitted.error.code === 'REFERENCE_MISSING' && await this.refresh()) {
-      const again = admitObject(object, operator, this.opts.view)
-      if (again.isOk()) return
+    const admission = admitObject(object, operator, this.opts.view)
+    if (admission.isOk()) return
+    // The replica may lag behind: another instance may have just accepted the missing object.
+    if (admission.error.code === 'REFERENCE_MISSING' && await this.refresh()) {
+      const retried = admitObject(object, operator, this.opts.view)
+      if (retried.isOk()) return
     }
     const key = buildObjectKey(object.kind, object.partner, object.name)
-    this.opts.ring.record(EventKinds.CONFIG_REFUSED, { object: key, partner: operator.partner, note: admitted.error.message })
-    throw admitted.error
+    this.opts.ring.record(EventKinds.CONFIG_REFUSED, { object: key, partner: operator.partner, note: admission.error.message })
+    throw admission.error
   }
 
   private async refresh (): Promise<boolean> {
@@ -116,7 +116,7 @@
     return true
   }
 
-  /** Undefined when somebody else was faster. A lost answer is settled by reading back. */
+  /** Returns the new version, or undefined after a conflict. If the outcome of the write is unknown, reads the object back. */
   private async write (key: string, next: ConfigObject, expectedVersion: number): Promise<number | undefined> {
     const operation = this.opts.createId()
     const value: ConfigObject = { ...next, operation, generation: (next.generation ?? 0) + 1 }
@@ -124,8 +124,8 @@
     if (written.isOk()) return this.accept(key, written.value, value)
     if (written.error.code === 'STORE_CONFLICT') return undefined
     if (written.error.code !== 'STORE_OUTCOME_UNKNOWN') throw written.error
-    const standing = await this.read(key).catch(() => undefined)
-    if (standing?.object?.operation === operation) return this.accept(key, standing.version, value)
+    const current = await this.read(key).catch(() => undefined)
+    if (current?.object?.operation === operation) return this.accept(key, current.version, value)
     throw written.error
   }
 
@@ -137,42 +137,42 @@
 
   private async explainFailedDeletion (key: string, version: number, error: PulleystackError): Promise<PulleystackError> {
     if (error.code !== 'STORE_CONFLICT') return error
-    const standing = await this.read(key)
-    return new PulleystackError('VERSION_CONFLICT', `${key} was changed meanwhile, from version ${version} to ${standing.version}`, { hint: 'Look at it again before you delete it.' })
+    const current = await this.read(key)
+    return new PulleystackError('VERSION_CONFLICT', `${key} was changed from version ${version} to ${current.version} during the deletion`, { hint: 'Check the new version before you delete it.' })
   }
 }
 
-function buildNext (wanted: ConfigObject, standing: ConfigObject | undefined): ConfigObject {
-  const applied = { labels: wanted.labels ?? {}, spec: wanted.spec }
-  const merged = mergeThreeWay(standing?.lastApplied, applied, { labels: standing?.labels ?? {}, spec: standing?.spec }) as Pick<ConfigObject, 'labels' | 'spec'>
-  const { kind, partner, name } = wanted
-  return { kind, partner, name, ...merged, generation: standing?.generation, lastApplied: applied }
+function buildNext (desired: ConfigObject, current: ConfigObject | undefined): ConfigObject {
+  const lastApplied = { labels: desired.labels ?? {}, spec: desired.spec }
+  const merged = mergeThreeWay(current?.lastApplied, lastApplied, { labels: current?.labels ?? {}, spec: current?.spec }) as Pick<ConfigObject, 'labels' | 'spec'>
+  const { kind, partner, name } = desired
+  return { kind, partner, name, ...merged, generation: current?.generation, lastApplied }
 }
 
-/** Fields that people see; `lastApplied` counts only together with one of them. */
-function strip (object: ConfigObject | undefined): unknown {
+/** Picks the fields that users edit. A difference in `lastApplied` alone is not a change. */
+function pickUserFields (object: ConfigObject | undefined): unknown {
   return object && { labels: object.labels ?? {}, spec: object.spec }
 }
 
-function checkExpected (key: string, standing: Standing, expected: number | undefined): void {
-  if (expected === undefined || expected === standing.version) return
-  throw new PulleystackError('VERSION_CONFLICT', `${key} has version ${standing.version}, not ${expected}`, { hint: 'Read it again and repeat the change.' })
+function checkExpectedVersion (key: string, current: CurrentObject, expected: number | undefined): void {
+  if (expected === undefined || expected === current.version) return
+  throw new PulleystackError('VERSION_CONFLICT', `${key} has version ${current.version}, not ${expected}`, { hint: 'Read it again and repeat the change.' })
 }
 
-/** Fails when the fields that somebody changed since our first reading are among those asked for. */
-function checkOverlap (key: string, first: Standing, standing: Standing, wanted: ConfigObject): void {
-  if (first.version === standing.version) return
-  const theirs = listDifferences(strip(first.object), strip(standing.object))
-  const ours = new Set(listDifferences(strip(first.object), strip(wanted)).map((it) => it.field))
-  const overlap = theirs.filter((it) => ours.has(it.field))
-  if (overlap.length === 0) return
-  throw new PulleystackError('VERSION_CONFLICT', `Somebody changed the same fields of ${key} at the same moment`, {
-    details: overlap,
-    field: overlap[0]?.field,
-    hint: 'Look at their change, then apply again if yours should stand.',
+/** Throws VERSION_CONFLICT if another writer has changed any of the requested fields since the first read. */
+function checkConcurrentChanges (key: string, initial: CurrentObject, current: CurrentObject, desired: ConfigObject): void {
+  if (initial.version === current.version) return
+  const concurrentChanges = listDifferences(pickUserFields(initial.object), pickUserFields(current.object))
+  const requestedFields = new Set(listDifferences(pickUserFields(initial.object), pickUserFields(desired)).map((it) => it.field))
+  const conflicts = concurrentChanges.filter((it) => requestedFields.has(it.field))
+  if (conflicts.length === 0) return
+  throw new PulleystackError('VERSION_CONFLICT', `Another writer changed the same fields of ${key} at the same time`, {
+    details: conflicts,
+    field: conflicts[0]?.field,
+    hint: 'Review the other change, then apply again to override it.',
   })
 }
 
-function createUnknown (key: string): PulleystackError {
+function createUnknownObjectError (key: string): PulleystackError {
   return new PulleystackError('OBJECT_UNKNOWN', `${key} does not exist`)
 }
--- a/gateway/admin/src/explainRoute.ts
+++ b/gateway/admin/src/explainRoute.ts
@@ -2,20 +2,20 @@
 import { PulleystackError } from '@pulleystack/core.errors'
 import type { Backend } from '@pulleystack/routing.fleet'
 
-/** One backend server's part in the explanation of a route. */
+/** Whether a backend server could take a request of the route, and why not. */
 export interface ExplainedBackend {
   server: string
   dataHall: string
-  /** Requests that all instances together have in hand there. */
+  /** Requests of all instances that are running on the server. */
   running: number
   slots: number
   why: string
 }
 
-/** One service that a route leads to. */
+/** A service to which a route sends requests. */
 export interface ExplainedTarget {
   service: string
-  /** Part of the route's requests that go there, from 0 to 1. */
+  /** Fraction of the route's requests sent to the service, from 0 to 1. */
   share: number
   servers: ExplainedBackend[]
 }
@@ -34,22 +34,22 @@
 export interface ExplainRouteOptions {
   table: RouteTable
   listBackends: (service: string) => readonly Backend[]
-  /** Monotone time. */
+  /** Monotonic time in milliseconds. */
   now: number
-  /** Partner whose routes may be shown; undefined for all. */
+  /** Partner whose routes may be explained; undefined for all partners. */
   partner: string | undefined
   host: string
   path: string
 }
 
-/** Says which route takes a host and path, and where its requests could run now. Throws NOT_FOUND when no route of the partner does. */
+/** Explains which route matches a host and path, and where its requests could run now. Throws NOT_FOUND if no visible route matches. */
 export function explainRoute (opts: ExplainRouteOptions): RouteExplanation {
   const route = opts.table.findRoute(opts.host, opts.path)
-  const isShown = route !== undefined && (opts.partner === undefined || route.name.startsWith(`${opts.partner}/`))
-  if (!isShown) throw new PulleystackError('NOT_FOUND', `No route takes ${opts.host}${opts.path}`, { hint: 'pulleystack get Route lists them.' })
+  const isVisible = route !== undefined && (opts.partner === undefined || route.name.startsWith(`${opts.partner}/`))
+  if (!isVisible) throw new PulleystackError('NOT_FOUND', `No route matches ${opts.host}${opts.path}`, { hint: '"pulleystack get Route" lists the routes.' })
   const targets = explainTargets(opts, route)
   const { name, host, pathPrefix, timeoutMs, maxAttempts, repeat } = route
-  return { route: name, host, pathPrefix, timeoutMs, maxAttempts, repeat, targets, conclusion: conclude(targets) }
+  return { route: name, host, pathPrefix, timeoutMs, maxAttempts, repeat, targets, conclusion: describeConclusion(targets) }
 }
 
 function explainTargets (opts: ExplainRouteOptions, route: Route): ExplainedTarget[] {
@@ -64,23 +64,23 @@
 function explainBackend (backend: Backend, now: number): ExplainedBackend {
   const { id, dataHall, slots } = backend.entry
   const { running } = backend.readLoad()
-  return { server: id.split('|', 1)[0] as string, dataHall, running, slots, why: describe(backend, running, now) }
+  return { server: id.split('|', 1)[0] as string, dataHall, running, slots, why: describeState(backend, running, now) }
 }
 
-function describe (backend: Backend, running: number, now: number): string {
-  if (backend.entry.draining) return 'is leaving'
-  if (!backend.isReachable(now)) return 'could not be connected to and is left alone for a while'
-  if (backend.stated.backoff.isActive(now)) return 'asked for rest and is left alone until then'
-  if (backend.outlier.isEjected(now)) return 'failed too often and is left alone for a while'
+function describeState (backend: Backend, running: number, now: number): string {
+  if (backend.entry.draining) return 'is draining'
+  if (!backend.isReachable(now)) return 'is skipped for a while after a failed connection'
+  if (backend.stated.backoff.isActive(now)) return 'is in a backoff that it requested'
+  if (backend.outlier.isEjected(now)) return 'is temporarily ejected after too many failures'
   return running < backend.entry.slots ? 'can take it now' : 'has no free slot'
 }
 
-function conclude (targets: readonly ExplainedTarget[]): string {
+function describeConclusion (targets: readonly ExplainedTarget[]): string {
   const used = targets.filter((target) => target.share > 0)
-  const empty = used.filter((target) => target.servers.length === 0)
-  if (used.length === 0) return 'would be refused: no target of the route has a weight'
-  if (empty.length > 0) return `would be refused where it falls to ${empty.map((target) => target.service).join(' or ')}: no server is allowed by the service's selectors`
-  const stuck = used.filter((target) => !target.servers.some((server) => server.why === 'can take it now'))
-  if (stuck.length > 0) return `would wait where it falls to ${stuck.map((target) => target.service).join(' or ')}`
+  const withoutServers = used.filter((target) => target.servers.length === 0)
+  if (used.length === 0) return 'would be rejected: no target of the route has a positive weight'
+  if (withoutServers.length > 0) return `would be rejected when sent to ${withoutServers.map((target) => target.service).join(' or ')}: no server matches the service's selectors`
+  const saturated = used.filter((target) => !target.servers.some((server) => server.why === 'can take it now'))
+  if (saturated.length > 0) return `would wait when sent to ${saturated.map((target) => target.service).join(' or ')}`
   return 'would run at once'
 }
--- a/timeline/merge/src/collectTimeline.ts
+++ b/timeline/merge/src/collectTimeline.ts
@@ -2,14 +2,14 @@
 import type { EventRing, TimelineEvent } from '@pulleystack/timeline.events'
 import { matchFilter, mergeEvents, type TimelineFilter } from './mergeEvents.js'
 
-const EVENTS = defineChannel<TimelineFilter, TimelineEvent[]>('timeline.events')
+const TIMELINE_CHANNEL = defineChannel<TimelineFilter, TimelineEvent[]>('timeline.events')
 
 const CALL_TIMEOUT_MS = 2_000
 const MAX_EVENTS = 5_000
 
 /** Lets peers read this instance's events. */
 export function answerTimeline (network: PeerNetwork, ring: EventRing): void {
-  network.handleCalls(EVENTS, (_, filter) => ring.list((event) => matchFilter(event, filter)).slice(-MAX_EVENTS))
+  network.handleCalls(TIMELINE_CHANNEL, (_, filter) => ring.list((event) => matchFilter(event, filter)).slice(-MAX_EVENTS))
 }
 
 /** Reads the events of this instance and of all members that answer, and merges them. */
@@ -19,7 +19,7 @@
 ): Promise<TimelineEvent[]> {
   const own = { events: opts.ring.list((event) => matchFilter(event, filter)), offsetMs: 0 }
   const others = await Promise.all(opts.peers.map(async (peer) => {
-    const answer = await opts.network.call(peer, EVENTS, filter, CALL_TIMEOUT_MS)
+    const answer = await opts.network.call(peer, TIMELINE_CHANNEL, filter, CALL_TIMEOUT_MS)
     return { events: answer.isOk() ? answer.value : [], offsetMs: opts.network.getClockOffset(peer) }
   }))
   return mergeEvents([own, ...others], filter.limit)
--- a/timeline/merge/src/index.ts
+++ b/timeline/merge/src/index.ts
@@ -1,4 +1,4 @@
-export { mergeEvents, matchFilter, filterForPartner } from './mergeEvents.js'
+export { mergeEvents, matchFilter, isVisibleToPartner } from './mergeEvents.js'
 export type { TimelineFilter, InstanceEvents } from './mergeEvents.js'
 export { renderText, renderJsonLines } from './renderText.js'
 export { renderPage } from './renderPage.js'
--- a/timeline/merge/src/mergeEvents.ts
+++ b/timeline/merge/src/mergeEvents.ts
@@ -16,16 +16,16 @@
   offsetMs: number
 }
 
-const FIELDS = ['request', 'order', 'object', 'partner', 'server', 'model'] as const
+const FILTER_FIELDS = ['request', 'order', 'object', 'partner', 'server', 'model'] as const
 const DEFAULT_LIMIT = 2_000
 
 /** True when the event has every value that the filter names. */
 export function matchFilter (event: TimelineEvent, filter: TimelineFilter): boolean {
-  return FIELDS.every((field) => filter[field] === undefined || event[field] === filter[field])
+  return FILTER_FIELDS.every((field) => filter[field] === undefined || event[field] === filter[field])
 }
 
 /** What an operator of one partner may see: its own events and those that belong to nobody. */
-export function filterForPartner (event: TimelineEvent, partner: string): boolean {
+export function isVisibleToPartner (event: TimelineEvent, partner: string): boolean {
   const owner = event.partner ?? findPartner(event.model) ?? findPartner(event.object?.split('/').slice(2).join('/'))
   return owner === undefined || owner === partner
 }
--- a/timeline/merge/src/renderPage.ts
+++ b/timeline/merge/src/renderPage.ts
@@ -72,8 +72,8 @@
     const dot = `<span class="dot" style="background:${getColour(event)}"></span>`
     return `<tr>${cells.map((cell, i) => `<td>${i === 3 ? dot : ''}${escapeText(String(cell ?? ''))}</td>`).join('')}</tr>`
   })
-  const names = ['ms', 'instance', 'data hall', 'event', 'request', 'attempt', 'server', 'model or object', 'note']
-  return `<table><thead><tr>${names.map((name) => `<th>${name}</th>`).join('')}</tr></thead><tbody>${rows.join('')}</tbody></table>`
+  const columns = ['ms', 'instance', 'data hall', 'event', 'request', 'attempt', 'server', 'model or object', 'note']
+  return `<table><thead><tr>${columns.map((name) => `<th>${name}</th>`).join('')}</tr></thead><tbody>${rows.join('')}</tbody></table>`
 }
 
 function describeEvent (event: TimelineEvent, start: number): string {
--- a/timeline/merge/src/renderText.ts
+++ b/timeline/merge/src/renderText.ts
@@ -1,6 +1,6 @@
 import type { TimelineEvent } from '@pulleystack/timeline.events'
 
-const NAMES = ['request', 'attempt', 'order', 'object', 'partner', 'server', 'model', 'version', 'fence', 'ms'] as const
+const FIELD_NAMES = ['request', 'attempt', 'order', 'object', 'partner', 'server', 'model', 'version', 'fence', 'ms'] as const
 
 /** Lines for people: milliseconds since the first event, instance, kind, fields. */
 export function renderText (events: readonly TimelineEvent[]): string {
@@ -14,7 +14,7 @@
 
 function renderLine (event: TimelineEvent, start: number): string {
   const time = `+${(event.at - start).toFixed(0)}`.padStart(8)
-  const fields = NAMES.flatMap((name) => event[name] === undefined ? [] : `${name}=${formatValue(event[name])}`)
+  const fields = FIELD_NAMES.flatMap((name) => event[name] === undefined ? [] : `${name}=${formatValue(event[name])}`)
   const note = event.note === undefined ? '' : `  (${event.note})`
   return `${time} ms  ${`${event.instance}@${event.dataHall}`.padEnd(20)} ${event.kind.padEnd(20)} ${fields.join(' ')}${note}`
 }
