--- a/gateway/admin/src/AdminGateway.ts
+++ b/gateway/admin/src/AdminGateway.ts
@@ -150,7 +150,7 @@
 function readTarget (fields: Record<string, unknown>): { kind: Kind, partner: string, name: string } {
   const { kind, partner, name } = fields
   if (!(Object.values(Kinds) as unknown[]).includes(kind)) throw new PulleystackError('BAD_BODY', `Unknown kind "${String(kind)}"`, { field: 'kind', hint: Object.values(Kinds).join(', ') })
-  if (typeof partner !== 'string' || typeof name !== 'string') throw new PulleystackError('BAD_BODY', 'Fields "partner" and "name" must be strings', { field: 'name' })
+  if (typeof partner !== 'string' || typeof name !== 'string') throw new PulleystackError('BAD_BODY', '"partner" and "name" must be strings', { field: 'name' })
   return { kind: kind as Kind, partner, name }
 }
 
--- a/gateway/admin/src/ConfigWriter.ts
+++ b/gateway/admin/src/ConfigWriter.ts
@@ -138,15 +138,15 @@
   private async explainFailedDeletion (key: string, version: number, error: PulleystackError): Promise<PulleystackError> {
     if (error.code !== 'STORE_CONFLICT') return error
     const current = await this.read(key)
-    return new PulleystackError('VERSION_CONFLICT', `${key} was changed from version ${version} to ${current.version} during the deletion`, { hint: 'Check the new version before you delete it.' })
+    return new PulleystackError('VERSION_CONFLICT', `${key} was changed from version ${version} to ${current.version}`, { hint: 'Check the new version before you delete it.' })
   }
 }
 
 function buildNext (desired: ConfigObject, current: ConfigObject | undefined): ConfigObject {
-  const lastApplied = { labels: desired.labels ?? {}, spec: desired.spec }
-  const merged = mergeThreeWay(current?.lastApplied, lastApplied, { labels: current?.labels ?? {}, spec: current?.spec }) as Pick<ConfigObject, 'labels' | 'spec'>
+  const applied = { labels: desired.labels ?? {}, spec: desired.spec }
+  const merged = mergeThreeWay(current?.lastApplied, applied, { labels: current?.labels ?? {}, spec: current?.spec }) as Pick<ConfigObject, 'labels' | 'spec'>
   const { kind, partner, name } = desired
-  return { kind, partner, name, ...merged, generation: current?.generation, lastApplied }
+  return { kind, partner, name, ...merged, generation: current?.generation, lastApplied: applied }
 }
 
 /** Picks the fields that users edit. A difference in `lastApplied` alone is not a change. */
--- a/gateway/admin/src/explainRoute.ts
+++ b/gateway/admin/src/explainRoute.ts
@@ -77,9 +77,9 @@
 
 function describeConclusion (targets: readonly ExplainedTarget[]): string {
   const used = targets.filter((target) => target.share > 0)
-  const withoutServers = used.filter((target) => target.servers.length === 0)
+  const unserved = used.filter((target) => target.servers.length === 0)
   if (used.length === 0) return 'would be rejected: no target of the route has a positive weight'
-  if (withoutServers.length > 0) return `would be rejected when sent to ${withoutServers.map((target) => target.service).join(' or ')}: no server matches the service's selectors`
+  if (unserved.length > 0) return `would be rejected when sent to ${unserved.map((target) => target.service).join(' or ')}: no server matches the service's selectors`
   const saturated = used.filter((target) => !target.servers.some((server) => server.why === 'can take it now'))
   if (saturated.length > 0) return `would wait when sent to ${saturated.map((target) => target.service).join(' or ')}`
   return 'would run at once'
--- a/gateway/callers/src/handleCompletion.ts
+++ b/gateway/callers/src/handleCompletion.ts
@@ -4,7 +4,15 @@
 import type { GenerateEnd, TokenSink } from '@pulleystack/backend.interfaces'
 import type { KeptOutcome } from '@pulleystack/routing.claims'
 import type { GenerationDispatcher, GenerationWork } from '@pulleystack/routing.dispatch'
-import { createChunkRenderer, parseCompletionRequest, renderStreamEnd, renderCompletion, type CompletionMetadata, type CompletionKind, type CompletionRequest } from './openaiFormat.js'
+import {
+  createChunkRenderer,
+  parseCompletionRequest,
+  renderCompletion,
+  renderStreamEnd,
+  type CompletionKind,
+  type CompletionMetadata,
+  type CompletionRequest,
+} from './openaiFormat.js'
 import { computeDeadline, isRepeatable, type RequestContext } from './RequestContext.js'
 import { resolveModel, type ModelTarget } from './resolveTarget.js'
 import { runOnce, type RunOnceOptions } from './runOnce.js'
@@ -58,7 +66,7 @@
 
 function checkIdempotencyKey (target: ModelTarget, work: GenerationWork): void {
   if (work.repeatable || !target.service.spec.requireKey) return
-  throw new PulleystackError('KEY_MISSING', `Service "${target.service.name}" requires an Idempotency-Key for requests that may not be repeated`, { field: 'idempotency-key' })
+  throw new PulleystackError('KEY_MISSING', `Service "${target.service.name}" requires an Idempotency-Key for non-repeatable requests`, { field: 'idempotency-key' })
 }
 
 async function runWithoutKey (
--- a/gateway/callers/src/relayRequest.ts
+++ b/gateway/callers/src/relayRequest.ts
@@ -58,7 +58,7 @@
       })
     })
     outgoing.on('response', resolve)
-    outgoing.on('error', (cause) => reject(isConnected ? cause : new PulleystackError('ATTEMPT_FAILED_NOT_RUN', `Instance ${target.instance} cannot be reached`, { cause })))
+    outgoing.on('error', (cause) => reject(isConnected ? cause : new PulleystackError('ATTEMPT_FAILED_NOT_RUN', `Cannot reach ${target.instance}`, { cause })))
     if (body) outgoing.end(body)
     else request.pipe(outgoing)
   })
--- a/gateway/callers/src/runOnce.ts
+++ b/gateway/callers/src/runOnce.ts
@@ -61,7 +61,7 @@
   for (let pollMs = INITIAL_POLL_MS; ; pollMs = Math.min(MAX_POLL_MS, pollMs * 2)) {
     const decision = await requestClaim(opts, keyed, claim)
     if (decision.kind === 'mismatch') {
-      throw new PulleystackError('KEY_REUSED', 'This Idempotency-Key was already used for a different request', { field: 'idempotency-key', hint: 'Use a new key for each request.' })
+      throw new PulleystackError('KEY_REUSED', 'This Idempotency-Key was used for a different request', { field: 'idempotency-key', hint: 'Use a new key for each request.' })
     }
     if (decision.kind === 'granted') {
       opts.ring.record(EventKinds.CLAIM_COMMITTED, { request: keyed.request, partner: keyed.partner })
@@ -95,7 +95,7 @@
 async function waitForOutcome (opts: RunOnceOptions, keyed: KeyedRequest, instance: string, pollMs: number): Promise<void> {
   const holder = opts.view.findMember(instance)
   if (!holder || holder.state === 'suspect') {
-    throw new PulleystackError('CLAIM_OUTCOME_UNKNOWN', 'The instance that accepted the first request with this key is unavailable; it is unknown whether the request ran', {
+    throw new PulleystackError('CLAIM_OUTCOME_UNKNOWN', 'The instance that accepted this request is unavailable; it is unknown whether it ran', {
       hint: 'It will not be run again with this key.',
     })
   }
@@ -108,5 +108,5 @@
 
 function checkOutcomeBody (outcome: KeptOutcome): KeptOutcome {
   if (outcome.body !== undefined) return outcome
-  throw new PulleystackError('CLAIM_OUTCOME_TOO_LARGE', `The first request with this Idempotency-Key was answered with status ${outcome.status}; its response was too large to store`)
+  throw new PulleystackError('CLAIM_OUTCOME_TOO_LARGE', `The first request was answered with status ${outcome.status}; its response was too large to store`)
 }
