--- a/timeline/decisions/src/DecisionFacts.ts
+++ b/timeline/decisions/src/DecisionFacts.ts
@@ -1,72 +1,72 @@
-/** What each kind of line tells beside its time and instance. Times are milliseconds; `docs/log-lines.md` is made from this. */
+/** Fields of each kind of log line, besides time and instance. Times are in milliseconds. `docs/log-lines.md` is generated from this. */
 export interface DecisionFacts {
-  /** The process has started; it is not ready yet. */
+  /** The process has started, but is not ready yet. */
   'started': { instance: string, dataHall: string, address: string }
-  /** It was asked to stop. */
+  /** The process was asked to stop; `inFlight` requests are running. */
   'stopping': { inFlight: number }
-  /** It ends, `ms` after it was asked; `cancelled` requests were ended at the last moment, answered or broken off; `cut` had not left even then. */
+  /** The process exits, `ms` after it was asked to. `cancelled` requests were cancelled at the last moment, `cut` were unfinished even then. */
   'stopped': { cut: number, cancelled: number, ms: number }
-  /** Settings were read again; refused ones change nothing. */
+  /** Settings were reloaded; rejected settings have no effect. */
   'reloaded': { trigger: 'signal' | 'file', accepted: boolean, code?: string, reason?: string, graceMs?: number, directoryLifetimeMs?: number }
-  /** The store does not answer for this kind of object; `revision` is the newest that is known, `code` and `reason` say how the call failed. */
+  /** The store does not respond for this kind of object. `revision` is the newest known one; `code` and `reason` describe the failed call. */
   'dependency-lost': { dependency: string, prefix: string, revision: number | undefined, code: string, reason: string }
-  /** It answers again, here or to a peer. */
+  /** The store responds again, to this instance or to a peer. */
   'dependency-regained': { dependency: string, prefix: string, revision: number | undefined }
-  /** An answer showed that the store came back from an older copy: it is in `epoch`, and was in `former` before. */
+  /** The store was restored from an older snapshot: it is now in epoch `epoch`, and was in `former` before. */
   'store-restored': { epoch: number, former: number }
-  /** The copy of this kind of object follows the store into another epoch, from `formerRevision` to `revision`; `changed` objects differ. */
+  /** The local replica of this kind of object followed the store into another epoch; `changed` objects differ. */
   'copy-restored': { prefix: string, epoch: number, revision: number, formerEpoch: number, formerRevision: number, changed: number }
-  /** A listing of the store was passed over, since it is of `epoch` and `revision` and the copy here of `heldEpoch` and `heldRevision`. */
+  /** A listing of the store with `epoch` and `revision` was ignored: the local replica is at `heldEpoch` and `heldRevision`. */
   'listing-refused': { prefix: string, epoch: number, revision: number, heldEpoch: number, heldRevision: number }
-  /** The copy was given up for a listing of the store, as several in a row were older than it: a peer had told of what the store never had. */
+  /** The local replica was replaced by a listing of the store after several older listings in a row: a peer had sent data that the store never had. */
   'copy-reset': { prefix: string, epoch: number, revision: number, heldEpoch: number, heldRevision: number }
-  /** A record of the system's own that the store had lost is there again: `instance`, `lease` or `suspect`. */
+  /** An internal record that the store had lost was written again: `instance`, `lease` or `suspect`. */
   'record-restored': { record: string, key: string }
-  /** The copy of this kind of object was not confirmed for `ageMs`; `cause`: `store-lost`, `asking`, `gap` or `listening`. */
+  /** The local replica of this kind of object was not confirmed to be current for `ageMs`; `cause`: `store-lost`, `asking`, `gap` or `listening`. */
   'copy-stale': { prefix: string, ageMs: number | undefined, revision: number, isWatcher: boolean, cause: string }
-  /** It is confirmed again; it was over the limit for `staleMs`. */
+  /** The replica is confirmed to be current again; it was stale for `staleMs`. */
   'copy-current': { prefix: string, staleMs: number, revision: number }
-  /** This instance watches the store for the others from now on, or no longer. */
+  /** This instance started or stopped watching the store on behalf of the others. */
   'watcher-changed': { prefix: string, isWatcher: boolean }
-  /** A configuration is in force here from now on. */
+  /** A configuration took effect on this instance. */
   'config-applied': { version: number, revision: number, routes: number }
-  /** A backend server is known. */
+  /** A backend server was added. */
   'backend-added': BackendFacts
-  /** Its entry changed. */
+  /** The entry of a backend server changed. */
   'backend-changed': BackendFacts
-  /** It is taken for gone. */
+  /** A backend server is considered removed. */
   'backend-removed': BackendFacts
-  /** It failed too often and is left alone for a while. */
+  /** A backend server is not used for a while because it failed too often. */
   'backend-ejected': { backend: string, address: string }
   /**
-   * A server said of itself, in the head of an answer to this instance (`source`: `request`, `order` or `report`) or to another one (`peer`), that it leaves,
-   * or that it wants nothing for `retryAfterMs`. What it has said before and what ends no later is not told again.
+   * A backend server reported that it is draining, or requested a backoff of `retryAfterMs`, in the headers of a response to this instance
+   * (`source`: `request`, `order` or `report`) or to a `peer`. Repeated reports that extend nothing are not logged.
    */
   'backend-stated': { backend: string, address: string, source: string, leaving: boolean, retryAfterMs: number | undefined }
-  /** A server named another limit of requests a second from all instances together, in an answer to this instance or to a `peer`; without one it names none. */
+  /** A server changed its limit of requests per second from all instances, in a response to this instance or to a `peer`. Without a limit it is unlimited. */
   'backend-limit-changed': { backend: string, address: string | undefined, source: string, peer?: string, limitPerSecond: number | undefined }
-  /** It said something that can't be read, and that is passed over; `count` answers did since the last line. */
+  /** A status reported by a backend server could not be parsed and was ignored; `count` responses had one since the last such line. */
   'statement-unreadable': { backend: string, value: string, count: number }
-  /** A link to another instance is up. */
+  /** A connection to another instance was established. */
   'peer-joined': { peer: string, incarnation: number }
-  /** Nothing was heard of it for too long, or it closed the link. */
+  /** A peer closed its connection, or nothing was received from it for too long. */
   'peer-lost': { peer: string }
   /**
-   * An answer of the directory names others than the one before: `linked` of them by links of this instance, `told` by other instances only, whose
-   * oldest list came `oldestListMs` ago.
+   * The directory lists other instances than before: `linked` of them are connected to this instance, `told` are known only through other instances,
+   * whose oldest list was received `oldestListMs` ago.
    */
   'directory-changed': { added: readonly string[], removed: readonly string[], linked: number, told: number, oldestListMs: number | undefined }
-  /** In about the last second `frames` messages to it were left out, since already `backlogBytes` waited to leave. */
+  /** In about the last second, `frames` messages to a peer were dropped because `backlogBytes` were already waiting to be sent. */
   'frames-not-sent': { peer: string, frames: number, backlogBytes: number }
-  /** Another instance orders models now. */
+  /** Another instance now places models. */
   'holder-changed': { holder: string, fence: number }
-  /** This instance may soon order models. */
+  /** This instance has acquired the lease and may soon place models. */
   'lease-taken': { fence: number }
-  /** It may not any more. */
+  /** This instance has lost the lease and may no longer place models. */
   'lease-lost': { fence: number }
-  /** It leaves the lease to another, which must spare the servers that were ordered lately. */
+  /** This instance hands the lease over. The next holder must avoid the servers in `ordered`, which received orders recently. */
   'lease-handed-over': { fence: number, ordered: readonly string[] }
-  /** Not answered whole when a stop cancels what it has (`cancel`) or ends (`exit`); `state`: reading, waiting, sent, streaming, paused or answered. */
+  /** A request was unfinished when a stop cancelled requests (`cancel`) or exited (`exit`); `state`: reading, waiting, sent, streaming, paused or answered. */
   'request-at-stop': {
     moment: 'cancel' | 'exit'
     request: string | undefined
@@ -77,15 +77,15 @@
     events: number
   }
   /**
-   * No place at once: `full`, `reading`, `limited` (the limits that servers name leave nothing now), `backing-off` (all want rest), `not-resident` or
-   * `no-backend`; `waiting` requests wait here.
+   * A request has to wait for a slot: `full`, `reading`, `limited` (by the rate limits of servers), `backing-off` (all servers requested a backoff),
+   * `not-resident` or `no-backend`. `waiting` requests wait on this instance.
    */
   'request-waiting': { request: string, service: string, weights: string | undefined, reason: string, waiting: number }
-  /** Limits that servers name held the request back: the limits, when they were said last and to whom, and when it may go on at the soonest. */
+  /** Rate limits of servers delay a request: the limits, when and by whom they were last received, and the earliest time it can be sent. */
   'limit-reached': { request: string, limits: readonly ReachedLimit[], expectedMs: number }
-  /** This instance stands by or has no configuration yet, and handed the request on to another one. */
+  /** This instance is on standby or has no configuration yet, and relayed the request to another one. */
   'request-relayed': { request: string | undefined, peer: string }
-  /** The chosen server, what all instances have in hand there, how much of the prompt it has read, the time left, and the limit that it has named. */
+  /** An attempt was sent: the server's load from all instances, its cached tokens of the prompt, the time left, and the limit that it has reported. */
   'attempt-sent': {
     request: string
     backend: string
@@ -96,27 +96,27 @@
     leftMs: number
     limitPerSecond: number | undefined
   }
-  /** `ran` says whether the request may have run. */
+  /** An attempt failed; `ran` says whether the request may have run. */
   'attempt-failed': { request: string, backend: string, send: number, code: string, ran: string, reason: string }
   /**
-   * A connection broke and none comes up any more: the server ended under the request, `sentMs` after it was sent there; `identity` is the same
-   * whenever the request comes again, and `ends` servers have ended under it since it last ended well.
+   * A server crashed during a request, `sentMs` after the request was sent: its connection broke and no new one can be made. `identity` is the same
+   * for repeated requests; `ends` servers have crashed during them since the last success.
    */
   'server-ended': { request: string, identity: string, backend: string, address: string, send: number, sentMs: number, events: number, ends: number }
-  /** So many servers have ended under the request that it isn't sent to another: never (`refused`), or not beside another run of it (`alone`). */
+  /** A suspect request was not sent because servers crashed during it: never again (`refused`), or not while another run of it is in progress (`alone`). */
   'suspect-refused': { request: string, identity: string, ends: number, verdict: string }
   /**
-   * Whether another attempt may follow: `free`, `paid` or `denied`; `left` of the budget remained before it, of which `extra` does not come from
-   * requests; the budget counts `instances` and this process has lived for `lifeMs`.
+   * Whether another attempt is allowed: `free`, `paid` or `denied`. `left` of the retry budget remained before it, and `extra` is the part of it that
+   * does not depend on requests. `instances` share the budget; this process has run for `lifeMs`.
    */
   'retry-judged': { request: string, service: string, verdict: RetryVerdict, left: number, extra: number, instances: number, lifeMs: number }
-  /** An object of the store names no backend server, as it can't be read; `count` of them were passed over since the last line. */
+  /** An entry of a backend server in the store could not be parsed; `count` of them were ignored since the last such line. */
   'entry-unreadable': { key: string, revision: number, count: number }
-  /** The request is beyond its team's quota; it would be inside after `retryAfterMs`. */
+  /** A request exceeds the quota of its team; it would fit after `retryAfterMs`. */
   'quota-refused': { request: string | undefined, team: string, units: number, retryAfterMs: number }
-  /** The stream is taken up at another server behind event `after`. */
+  /** A stream was resumed on another server, after event `after`. */
   'stream-resumed': { request: string, after: string | undefined }
-  /** The final answer, and for streams when the first event came and the longest pause. */
+  /** The final response to a request; for streams also the time to the first event and the longest pause between events. */
   'request-ended': {
     request: string | undefined
     route: string
@@ -129,7 +129,7 @@
     firstMs?: number
     longestPauseMs?: number
   }
-  /** The holder begins a load, since at a server so much of the demand for the model finds no place; `victims` go first. */
+  /** The lease holder starts to load a model on a server because of unmet demand; the models in `victims` are unloaded first. */
   'load-planned': {
     backend: string
     model: string
@@ -139,13 +139,13 @@
     places: number
     copies: number
   }
-  /** An order to a server; it is taken only if the server still has this `sequence`. */
+  /** An order was sent to a server, which accepts it only if its sequence number is still `sequence`. */
   'order-sent': OrderFacts & { sequence: number, fence: number }
-  /** What became of it: `taken`, `holds`, `uncertain` or `refused`. */
+  /** The result of an order: `taken`, `holds`, `uncertain` or `refused`. */
   'order-settled': OrderFacts & { answer: string }
 }
 
-/** What was decided about another attempt. */
+/** Whether another attempt is allowed. */
 export type RetryVerdict = 'free' | 'paid' | 'denied'
 
 interface BackendFacts {
@@ -155,12 +155,12 @@
   models: readonly string[] | undefined
 }
 
-/** The limit of a server. */
+/** A rate limit that a server has reported. */
 export interface ReachedLimit {
   backend: string
   perSecond: number
   saidMsAgo: number
-  /** The peer that heard it; left out when this instance did. */
+  /** The peer that received the limit; omitted if this instance did. */
   heardBy?: string
 }
 
--- a/timeline/decisions/src/DecisionLog.ts
+++ b/timeline/decisions/src/DecisionLog.ts
@@ -1,8 +1,8 @@
 import type { DecisionFacts } from './DecisionFacts.js'
 
-/** Every kind of decision that is logged; docs/log-lines.md lists what each tells. */
+/** Kinds of logged decisions; docs/log-lines.md lists their fields. */
 export const DecisionKinds = {
-  /** Life of the process. */
+  /** Process lifecycle, store and replicas. */
   STARTED: 'started',
   STOPPING: 'stopping',
   STOPPED: 'stopped',
@@ -14,7 +14,7 @@
   LISTING_REFUSED: 'listing-refused',
   COPY_RESET: 'copy-reset',
   RECORD_RESTORED: 'record-restored',
-  /** What the process believes. */
+  /** State of the instance: configuration, backend servers, peers and leases. */
   COPY_STALE: 'copy-stale',
   COPY_CURRENT: 'copy-current',
   WATCHER_CHANGED: 'watcher-changed',
@@ -34,7 +34,7 @@
   LEASE_TAKEN: 'lease-taken',
   LEASE_LOST: 'lease-lost',
   LEASE_HANDED_OVER: 'lease-handed-over',
-  /** One request. */
+  /** Handling of requests. */
   REQUEST_AT_STOP: 'request-at-stop',
   LIMIT_REACHED: 'limit-reached',
   REQUEST_WAITING: 'request-waiting',
@@ -48,21 +48,21 @@
   QUOTA_REFUSED: 'quota-refused',
   STREAM_RESUMED: 'stream-resumed',
   REQUEST_ENDED: 'request-ended',
-  /** Placement. */
+  /** Placement of models. */
   LOAD_PLANNED: 'load-planned',
   ORDER_SENT: 'order-sent',
   ORDER_SETTLED: 'order-settled',
 } as const
 export type DecisionKind = typeof DecisionKinds[keyof typeof DecisionKinds]
 
-/** Takes the lines; never fails and never holds its caller up. */
+/** Records decisions. Implementations must neither throw nor block. */
 export abstract class DecisionLog {
   abstract record<Kind extends DecisionKind> (kind: Kind, facts: DecisionFacts[Kind]): void
 }
 
-/** Takes lines and does nothing with them. */
+/** Discards all lines. */
 export class SilentDecisionLog extends DecisionLog {
   record (): void {
-    // Nothing is kept.
+    // Discarded.
   }
 }
--- a/timeline/decisions/src/JsonDecisionLog.ts
+++ b/timeline/decisions/src/JsonDecisionLog.ts
@@ -3,21 +3,20 @@
 import type { DecisionFacts } from './DecisionFacts.js'
 import { DecisionLog, type DecisionKind } from './DecisionLog.js'
 
-const MAX_BUFFERED_BYTES = 256 * 1024
+const DEFAULT_MAX_BUFFERED_BYTES = 256 * 1024
 
 export interface JsonDecisionLogOptions {
   instance: string
-  /** Where the lines go. */
   output: Writable
-  /** Bytes that may wait for a slow reader before lines are dropped. */
+  /** Lines are dropped while more than this many bytes wait to be written. */
   maxBufferedBytes?: number
 }
 
-/** Writes JSON lines. While the reader is too slow, lines are dropped and counted; the count is logged once it reads again. */
+/** Writes JSON lines. Drops lines while the output is too slow, and logs the number of dropped lines once it catches up. */
 export class JsonDecisionLog extends DecisionLog {
   private readonly logger: bunyan
   private droppedCount = 0
-  private unreported = 0
+  private unreportedCount = 0
 
   constructor (private readonly opts: JsonDecisionLogOptions) {
     super()
@@ -25,21 +24,21 @@
     opts.output.on('error', () => undefined)
   }
 
-  /** Lines dropped since the start. */
+  /** Number of lines dropped since the start of the process. */
   get dropped (): number {
     return this.droppedCount
   }
 
-  record<Kind extends DecisionKind> (kind: Kind, fields: DecisionFacts[Kind]): void {
-    if (this.opts.output.writableLength > (this.opts.maxBufferedBytes ?? MAX_BUFFERED_BYTES)) {
+  record<Kind extends DecisionKind> (kind: Kind, facts: DecisionFacts[Kind]): void {
+    if (this.opts.output.writableLength > (this.opts.maxBufferedBytes ?? DEFAULT_MAX_BUFFERED_BYTES)) {
       this.droppedCount++
-      this.unreported++
+      this.unreportedCount++
       return
     }
-    if (this.unreported > 0) {
-      this.logger.warn({ dropped: this.unreported }, 'lines-dropped')
-      this.unreported = 0
+    if (this.unreportedCount > 0) {
+      this.logger.warn({ dropped: this.unreportedCount }, 'lines-dropped')
+      this.unreportedCount = 0
     }
-    this.logger.info(fields, kind)
+    this.logger.info(facts, kind)
   }
 }
--- a/timeline/decisions/test/JsonDecisionLog.test.ts
+++ b/timeline/decisions/test/JsonDecisionLog.test.ts
@@ -3,7 +3,7 @@
 import { describe, it } from 'node:test'
 import { DecisionKinds, JsonDecisionLog } from '../src/index.js'
 
-/** A reader that takes nothing until it is told to. */
+/** A stream that accepts no data until it is released. */
 class StalledReader extends Writable {
   readonly lines: string[] = []
   private isStalled = true
@@ -21,33 +21,33 @@
   }
 }
 
-const SENT = { backend: 'r1', send: 1, running: 0, prefillTokens: 0, keptTokens: 0, leftMs: 5, limitPerSecond: undefined }
+const ATTEMPT_FACTS = { backend: 'r1', send: 1, running: 0, prefillTokens: 0, keptTokens: 0, leftMs: 5, limitPerSecond: undefined }
 
-describe('the log of decisions', () => {
-  it('writes one JSON line with kind and facts', () => {
+describe('JsonDecisionLog', () => {
+  it('writes one JSON line with the kind and its fields', () => {
     const output = new StalledReader()
     output.release()
-    new JsonDecisionLog({ instance: 'e1', output }).record(DecisionKinds.ATTEMPT_SENT, { ...SENT, request: 'q' })
+    new JsonDecisionLog({ instance: 'e1', output }).record(DecisionKinds.ATTEMPT_SENT, { ...ATTEMPT_FACTS, request: 'q' })
     const line = JSON.parse(output.lines[0] ?? '') as Record<string, unknown>
     assert.deepEqual([line['name'], line['msg'], line['request'], line['leftMs']], ['e1', 'attempt-sent', 'q', 5])
   })
 
-  it('drops lines while its reader stands still, within its bound, and tells how many once it reads again', async () => {
+  it('drops lines beyond the buffer limit while the output is stalled, and logs their number afterwards', async () => {
     const output = new StalledReader()
     const log = new JsonDecisionLog({ instance: 'e1', output, maxBufferedBytes: 2_000 })
-    for (let i = 0; i < 1_000; i++) log.record(DecisionKinds.ATTEMPT_SENT, { ...SENT, request: `q${i}` })
+    for (let i = 0; i < 1_000; i++) log.record(DecisionKinds.ATTEMPT_SENT, { ...ATTEMPT_FACTS, request: `q${i}` })
     assert.ok(output.writableLength < 2_500)
     const { dropped } = log
     assert.ok(dropped > 900)
     output.release()
     await new Promise((resolve) => setImmediate(resolve))
-    log.record(DecisionKinds.ATTEMPT_SENT, { ...SENT, request: 'last' })
+    log.record(DecisionKinds.ATTEMPT_SENT, { ...ATTEMPT_FACTS, request: 'last' })
     await new Promise((resolve) => setImmediate(resolve))
-    const told = output.lines.map((line) => JSON.parse(line) as { msg: string, dropped?: number }).find((line) => line.msg === 'lines-dropped')
-    assert.equal(told?.dropped, dropped)
+    const report = output.lines.map((line) => JSON.parse(line) as { msg: string, dropped?: number }).find((line) => line.msg === 'lines-dropped')
+    assert.equal(report?.dropped, dropped)
   })
 
-  it('outlives a reader that goes away', () => {
+  it('survives an error of the output', () => {
     const output = new StalledReader()
     const log = new JsonDecisionLog({ instance: 'e1', output })
     output.destroy(new Error('gone'))
--- a/timeline/decisions/test/logLines.test.ts
+++ b/timeline/decisions/test/logLines.test.ts
@@ -7,12 +7,12 @@
 
 const PAGE = path.join(import.meta.dirname, '../../../docs/log-lines.md')
 
-describe('the lines of the log', () => {
-  it('stand in docs/log-lines.md as they are in the code', () => {
+describe('docs/log-lines.md', () => {
+  it('is up to date with the code', () => {
     assert.equal(fs.readFileSync(PAGE, 'utf8'), renderLogLines())
   })
 
-  it('are all listed there', () => {
+  it('lists every kind of log line', () => {
     const page = renderLogLines()
     for (const kind of Object.values(DecisionKinds)) assert.ok(page.includes(`| \`${kind}\` |`), kind)
   })
