--- a/timeline/events/src/TimelineEvent.ts
+++ b/timeline/events/src/TimelineEvent.ts
@@ -1,4 +1,4 @@
-/** Kinds of events; the prefix names the part of the program. */
+/** Kinds of events; the prefix names the component. */
 export const EventKinds = {
   REQUEST_ACCEPTED: 'request.accepted',
   REQUEST_QUEUED: 'request.queued',
@@ -34,7 +34,7 @@
 
 export type EventKind = typeof EventKinds[keyof typeof EventKinds]
 
-/** What an event is about; the time line can be filtered by each of these. */
+/** Optional fields of an event. */
 export interface EventFields {
   request?: string
   attempt?: string
@@ -43,19 +43,19 @@
   partner?: string
   server?: string
   model?: string
-  /** Version of the object, as the object API counts. */
+  /** Version of the object in the object API. */
   version?: number
   fence?: number
-  /** Duration in milliseconds where the event ends something. */
+  /** Duration in milliseconds, for events that end an operation. */
   ms?: number
   note?: string
 }
 
-/** One event as kept by the instance where it happened. */
+/** An event as recorded by the instance where it happened. */
 export interface TimelineEvent extends EventFields {
-  /** Counts up from 1 within the instance's life. */
+  /** Sequence number, counted from 1 in each run of the process. */
   seq: number
-  /** Wall time in milliseconds by the instance's own clock. */
+  /** Wall-clock time of the instance, in milliseconds since 1970. */
   at: number
   instance: string
   dataHall: string
--- a/timeline/merge/src/collectTimeline.ts
+++ b/timeline/merge/src/collectTimeline.ts
@@ -7,12 +7,12 @@
 const CALL_TIMEOUT_MS = 2_000
 const MAX_EVENTS = 5_000
 
-/** Lets peers read this instance's events. */
+/** Answers peers that request this instance's events. */
 export function answerTimeline (network: PeerNetwork, ring: EventRing): void {
   network.handleCalls(TIMELINE_CHANNEL, (_, filter) => ring.list((event) => matchFilter(event, filter)).slice(-MAX_EVENTS))
 }
 
-/** Reads the events of this instance and of all members that answer, and merges them. */
+/** Merges the events of this instance with those of all peers that respond in time. */
 export async function collectTimeline (
   opts: { network: PeerNetwork, ring: EventRing, peers: readonly string[] },
   filter: TimelineFilter,
--- a/timeline/merge/src/renderPage.ts
+++ b/timeline/merge/src/renderPage.ts
@@ -33,12 +33,12 @@
 })
 `
 
-/** A page that needs nothing else: a chart with one row for each instance, and a table that can be searched. */
+/** Renders a self-contained HTML page: a chart with one row per instance, and a searchable table. */
 export function renderPage (events: readonly TimelineEvent[], title: string): string {
   const head = `<meta charset="utf-8"><title>${escapeText(title)}</title><style>${STYLE}</style>`
   const span = events.length === 0 ? 0 : (events.at(-1)?.at ?? 0) - (events[0]?.at ?? 0)
-  const summary = `<p class="sub">${events.length} events over ${span.toFixed(0)} ms, times without clock offsets</p>`
-  const search = '<input placeholder="show rows that contain ...">'
+  const summary = `<p class="sub">${events.length} events over ${span.toFixed(0)} ms, times corrected for clock offsets</p>`
+  const search = '<input placeholder="filter rows ...">'
   return `<!doctype html><html><head>${head}</head><body><h1>${escapeText(title)}</h1>${summary}${renderChart(events)}${renderLegend()}${search}${renderTable(events)}<script>${SCRIPT}</script></body></html>`
 }
 
--- a/timeline/merge/src/renderText.ts
+++ b/timeline/merge/src/renderText.ts
@@ -2,7 +2,7 @@
 
 const FIELD_NAMES = ['request', 'attempt', 'order', 'object', 'partner', 'server', 'model', 'version', 'fence', 'ms'] as const
 
-/** Lines for people: milliseconds since the first event, instance, kind, fields. */
+/** Renders one line per event: milliseconds since the first event, instance, kind, fields. */
 export function renderText (events: readonly TimelineEvent[]): string {
   const start = events[0]?.at ?? 0
   return events.map((event) => renderLine(event, start)).join('\n')
