--- a/timeline/story/test/buildStory.test.ts
+++ b/timeline/story/test/buildStory.test.ts
@@ -20,26 +20,26 @@
   'not a log line',
 ].join('\n')
 
-describe('the story of a request', () => {
+describe('buildStory', () => {
   const lines = readLogLines(LOG)
 
-  it('passes over what is no log line', () => {
+  it('ignores lines that are not log lines', () => {
     assert.equal(lines.length, 9)
   })
 
-  it('holds the request\'s lines and what its instance believed then, in order', () => {
+  it('returns the lines of the request and of the state of its instance, in order', () => {
     const story = buildStory(lines, 'q1')
     assert.deepEqual(story?.lines.map((line) => line.kind), ['dependency-lost', 'attempt-sent', 'backend-ejected', 'attempt-failed', 'request-ended'])
-    assert.deepEqual(story.lines.map((line) => line.isOwn), [false, true, false, true, true])
+    assert.deepEqual(story.lines.map((line) => line.isAboutRequest), [false, true, false, true, true])
   })
 
-  it('says why the request failed', () => {
+  it('summarizes why the request failed', () => {
     const story = buildStory(lines, 'q1')
     assert.match(story?.conclusion ?? '', /answered 502 .* after 300 ms; because: socket hang up; failed attempts: r1: socket hang up/)
     assert.match(renderStory(story as NonNullable<typeof story>), /-1000 ms {3}e1 dependency-lost/)
   })
 
-  it('says which limits of servers held the request back, and when those were named', () => {
+  it('shows which rate limits of servers delayed the request, and when they were reported', () => {
     const limits = [{ backend: 'r1', perSecond: 2, saidMsAgo: 300, heardBy: 'e2' }]
     const log = [
       createLine(9.7, 'e1', 'backend-limit-changed', { backend: 'r1', source: 'peer', peer: 'e2', limitPerSecond: 2 }),
@@ -49,11 +49,11 @@
     ].join('\n')
     const story = buildStory(readLogLines(log), 'q4')
     assert.deepEqual(story?.lines.map((line) => line.kind), ['backend-limit-changed', 'limit-reached', 'request-ended'])
-    assert.match(story.conclusion, /answered 503 .*; held back by limits that servers name: .*"backend":"r1","perSecond":2,"saidMsAgo":300,"heardBy":"e2"/)
+    assert.match(story.conclusion, /answered 503 .*; delayed by rate limits of servers: .*"backend":"r1","perSecond":2,"saidMsAgo":300,"heardBy":"e2"/)
   })
 
-  it('says so when the end is missing, and gives nothing for an unknown request', () => {
-    assert.match(buildStory(lines, 'q2')?.conclusion ?? '', /no line tells its end/)
+  it('reports a missing end, and returns undefined for an unknown request', () => {
+    assert.match(buildStory(lines, 'q2')?.conclusion ?? '', /the end of the request is not logged/)
     assert.equal(buildStory(lines, 'q3'), undefined)
   })
 })
