--- a/gateway/callers/test/relayRequest.test.ts
+++ b/gateway/callers/test/relayRequest.test.ts
@@ -48,7 +48,7 @@
     assert.equal(await relayToUnreachable(true), false)
   })
 
-  // The part of the body that was already read would be missing if another instance served it.
+  // The part of the body that was read for the relay would be missing in any later attempt.
   it('throws an error with `ran: no` for a request with a streamed body', async () => {
     const outcome = await relayToUnreachable(false)
     assert.ok(typeof outcome !== 'boolean')
