--- a/program/cli/src/AdminClient.ts
+++ b/program/cli/src/AdminClient.ts
@@ -5,7 +5,7 @@
 import { PulleystackError, parseErrorBody } from '@pulleystack/core.errors'
 import type { CommandContext } from './Command.js'
 
-const TIMEOUT_MS = 10_000
+const REQUEST_TIMEOUT_MS = 10_000
 const DEFAULT_ADDRESS = '127.0.0.1:7080'
 
 /** Options of every command that talks to the system. */
@@ -40,36 +40,36 @@
   }
 
   private async send (method: string, path: string, params: Record<string, string | undefined>, body?: string): Promise<unknown> {
-    let last: PulleystackError | undefined
+    let lastError: PulleystackError | undefined
     for (const address of this.addresses) {
-      const answer = await this.sendTo(address, method, `${path}?${renderParams(params)}`, body).catch((cause: Error) => {
-        last = new PulleystackError('INSTANCE_UNREACHABLE', `${address} does not answer: ${cause.message}`, { hint: 'Give other addresses with --address.' })
+      const response = await this.sendTo(address, method, `${path}?${renderParams(params)}`, body).catch((cause: Error) => {
+        lastError = new PulleystackError('INSTANCE_UNREACHABLE', `${address} does not answer: ${cause.message}`, { hint: 'Give other addresses with --address.' })
       })
-      if (!answer) continue
-      if (answer.status === 200) return answer.value
-      throw parseErrorBody(answer.value) ?? new PulleystackError('INSTANCE_UNREACHABLE', `${address} answered with status ${answer.status}`)
+      if (!response) continue
+      if (response.status === 200) return response.value
+      throw parseErrorBody(response.value) ?? new PulleystackError('INSTANCE_UNREACHABLE', `${address} answered with status ${response.status}`)
     }
-    throw last ?? new PulleystackError('USAGE', 'No address was given')
+    throw lastError ?? new PulleystackError('USAGE', 'No address was given')
   }
 
   private sendTo (address: string, method: string, path: string, body: string | undefined): Promise<{ status: number, value: unknown }> {
     const headers: http.OutgoingHttpHeaders = { 'authorization': `Bearer ${this.key}`, 'content-type': 'application/json' }
-    const target = { ...parseAddress(address), method, path, headers, timeout: TIMEOUT_MS, agent: false }
+    const target = { ...parseAddress(address), method, path, headers, timeout: REQUEST_TIMEOUT_MS, agent: false }
     return new Promise((resolve, reject) => {
       const request = this.opts.tls ? https.request(target) : http.request(target)
       request.on('error', reject)
       request.on('timeout', () => request.destroy(new Error('timed out')))
-      request.on('response', (response) => void readAnswer(response).then(resolve, reject))
+      request.on('response', (response) => void readResponse(response).then(resolve, reject))
       request.end(body)
     })
   }
 }
 
 function renderParams (params: Record<string, string | undefined>): string {
-  const given = Object.entries(params).filter((it): it is [string, string] => it[1] !== undefined)
-  return new URLSearchParams(given).toString()
+  const defined = Object.entries(params).filter((it): it is [string, string] => it[1] !== undefined)
+  return new URLSearchParams(defined).toString()
 }
 
-async function readAnswer (response: http.IncomingMessage): Promise<{ status: number, value: unknown }> {
+async function readResponse (response: http.IncomingMessage): Promise<{ status: number, value: unknown }> {
   return { status: response.statusCode ?? 0, value: JSON.parse(await text(response) || 'null') as unknown }
 }
--- a/program/cli/src/Command.ts
+++ b/program/cli/src/Command.ts
@@ -1,7 +1,7 @@
 import type { Command as CacCommand } from 'cac'
 
 /** Exit codes, also listed in docs/operators/command-line.md. */
-export const ExitCodes = { OK: 0, FAILED: 1, USAGE: 2, REFUSED: 3, CONFLICT: 4, UNREACHABLE: 5 } as const
+export const ExitCodes = { OK: 0, FAILED: 1, USAGE: 2, REJECTED: 3, CONFLICT: 4, UNREACHABLE: 5 } as const
 export type ExitCode = typeof ExitCodes[keyof typeof ExitCodes]
 
 /** What a command's handler gets besides its arguments and options. */
--- a/program/cli/src/commands/apply.ts
+++ b/program/cli/src/commands/apply.ts
@@ -12,7 +12,7 @@
   dryRun?: boolean
 }
 
-interface ApplyAnswer {
+interface ApplyResponse {
   results: { key: string, action: string, version: number, differences: { field: string, before: unknown, after: unknown }[] }[]
 }
 
@@ -29,9 +29,9 @@
 export async function handler (context: CommandContext, _: readonly string[], opts: ApplyOptions): Promise<ExitCode> {
   if (!opts.file) throw new PulleystackError('USAGE', 'No file was given', { hint: 'pulleystack apply -f FILE' })
   const objects = await readObjects(opts.file)
-  const answer = await new AdminClient(context, opts).post('/admin/apply', { objects, dryRun: opts.dryRun ?? false }) as ApplyAnswer
-  const rows = answer.results.map((it) => [it.key, it.action, it.version, it.differences.map((difference) => difference.field).join(' ')])
-  context.write(formatOutput(opts, answer, ['object', 'action', 'version', 'differences'], rows))
+  const response = await new AdminClient(context, opts).post('/admin/apply', { objects, dryRun: opts.dryRun ?? false }) as ApplyResponse
+  const rows = response.results.map((it) => [it.key, it.action, it.version, it.differences.map((difference) => difference.field).join(' ')])
+  context.write(formatOutput(opts, response, ['object', 'action', 'version', 'differences'], rows))
   return ExitCodes.OK
 }
 
@@ -40,8 +40,8 @@
   const text = await readFile(file, 'utf8').catch((cause: unknown) => {
     throw new PulleystackError('USAGE', `File ${file} cannot be read`, { cause })
   })
-  const problems: ParseError[] = []
-  const value: unknown = parse(text, problems, { allowTrailingComma: true })
-  if (problems[0]) throw new PulleystackError('USAGE', `File ${file} is not JSON with comments, at character ${problems[0].offset}`)
+  const errors: ParseError[] = []
+  const value: unknown = parse(text, errors, { allowTrailingComma: true })
+  if (errors[0]) throw new PulleystackError('USAGE', `File ${file} is not JSON with comments, at character ${errors[0].offset}`)
   return Array.isArray(value) ? value : [value]
 }
--- a/program/cli/src/commands/certificates.ts
+++ b/program/cli/src/commands/certificates.ts
@@ -10,8 +10,8 @@
   days?: number
 }
 
-const DEFAULT_DAYS = 365
-const SECRET_MODE = 0o600
+const DEFAULT_VALIDITY_DAYS = 365
+const SECRET_FILE_MODE = 0o600
 
 export const name = 'create-certificates [...instances]'
 export const description = 'Make the system\'s authority, the peers\' secret, and a certificate for each instance named'
@@ -26,12 +26,12 @@
 export async function handler (context: CommandContext, instances: readonly string[], opts: CertificatesOptions): Promise<ExitCode> {
   if (!opts.dir) throw new PulleystackError('USAGE', 'No folder was given', { hint: 'Use --dir FOLDER.' })
   const dir = opts.dir
-  const validity = { days: Number(opts.days ?? DEFAULT_DAYS), now: new Date() }
+  const validity = { days: Number(opts.days ?? DEFAULT_VALIDITY_DAYS), now: new Date() }
   await mkdir(dir, { recursive: true })
   const authority = await readPair(dir, 'authority') ?? await writePair(dir, 'authority', createAuthority({ name: 'pulleystack', ...validity }))
   // One that was made before may be such that nothing can load it.
   loadPair(authority)
-  await writeFile(path.join(dir, 'peers.secret'), createAccessKey('peers'), { mode: SECRET_MODE, flag: 'wx' }).catch(() => undefined)
+  await writeFile(path.join(dir, 'peers.secret'), createAccessKey('peers'), { mode: SECRET_FILE_MODE, flag: 'wx' }).catch(() => undefined)
   for (const instance of instances) await writePair(dir, instance, createCertificate(authority, { name: instance, ...validity }))
   context.write(`wrote ${instances.length} certificates to ${dir}`)
   return ExitCodes.OK
@@ -50,6 +50,6 @@
   // An operator would else hear of it at an instance's start.
   loadPair(pair)
   await writeFile(path.join(dir, `${file}.crt`), pair.certificate)
-  await writeFile(path.join(dir, `${file}.key`), pair.key, { mode: SECRET_MODE })
+  await writeFile(path.join(dir, `${file}.key`), pair.key, { mode: SECRET_FILE_MODE })
   return pair
 }
--- a/program/cli/src/commands/demo.ts
+++ b/program/cli/src/commands/demo.ts
@@ -14,7 +14,7 @@
 }
 
 export async function handler (context: CommandContext, _: readonly string[], opts: DemoOptions): Promise<ExitCode | undefined> {
-  const kept = await runDemo({ once: opts.once ?? false, write: context.write })
-  if (kept === undefined) return undefined
-  return kept ? ExitCodes.OK : ExitCodes.FAILED
+  const succeeded = await runDemo({ once: opts.once ?? false, write: context.write })
+  if (succeeded === undefined) return undefined
+  return succeeded ? ExitCodes.OK : ExitCodes.FAILED
 }
--- a/program/cli/src/commands/explain.ts
+++ b/program/cli/src/commands/explain.ts
@@ -14,14 +14,14 @@
   path?: string
 }
 
-interface ExplainAnswer {
+interface ExplainResponse {
   service: string
   items: string[]
   conclusion: string
   servers: { server: string, dataHall: string, load: number, ownInFlight: number, limit: number, why: string }[]
 }
 
-interface RouteAnswer {
+interface ExplainRouteResponse {
   route: string
   pathPrefix: string
   conclusion: string
@@ -47,16 +47,16 @@
   if (opts.host !== undefined) return explainRoute(context, opts)
   if (!opts.caller || (!opts.model && !opts.service)) throw new PulleystackError('USAGE', 'Say which caller, and which model or service; or which host and path')
   const { caller, model, service, partner } = opts
-  const answer = await new AdminClient(context, opts).get('/admin/explain', { caller, model, service, partner }) as ExplainAnswer
-  const rows = answer.servers.map((it) => [it.server, it.dataHall, it.load.toFixed(0), `${it.ownInFlight}/${it.limit}`, it.why])
-  if (opts.output !== 'json') context.write(`service ${answer.service}${answer.items.length > 0 ? `, items ${answer.items.join(' or ')}` : ''}: ${answer.conclusion}`)
-  context.write(formatOutput(opts, answer, ['server', 'data hall', 'load', 'own', 'why'], rows))
+  const response = await new AdminClient(context, opts).get('/admin/explain', { caller, model, service, partner }) as ExplainResponse
+  const rows = response.servers.map((it) => [it.server, it.dataHall, it.load.toFixed(0), `${it.ownInFlight}/${it.limit}`, it.why])
+  if (opts.output !== 'json') context.write(`service ${response.service}${response.items.length > 0 ? `, items ${response.items.join(' or ')}` : ''}: ${response.conclusion}`)
+  context.write(formatOutput(opts, response, ['server', 'data hall', 'load', 'own', 'why'], rows))
   return ExitCodes.OK
 }
 
 async function explainRoute (context: CommandContext, opts: ExplainOptions): Promise<ExitCode> {
-  const answer = await new AdminClient(context, opts).get('/admin/explain-route', { host: opts.host, path: opts.path ?? '/' }) as RouteAnswer
-  const rows = answer.targets.flatMap(({ service, share, servers }) => servers.map((it) => [
+  const response = await new AdminClient(context, opts).get('/admin/explain-route', { host: opts.host, path: opts.path ?? '/' }) as ExplainRouteResponse
+  const rows = response.targets.flatMap(({ service, share, servers }) => servers.map((it) => [
     service,
     `${Math.round(share * 100)} %`,
     it.server,
@@ -64,7 +64,7 @@
     `${it.running}/${it.slots}`,
     it.why,
   ]))
-  if (opts.output !== 'json') context.write(`route ${answer.route} (${answer.pathPrefix}): ${answer.conclusion}`)
-  context.write(formatOutput(opts, answer, ['service', 'share', 'server', 'data hall', 'running', 'why'], rows))
+  if (opts.output !== 'json') context.write(`route ${response.route} (${response.pathPrefix}): ${response.conclusion}`)
+  context.write(formatOutput(opts, response, ['service', 'share', 'server', 'data hall', 'running', 'why'], rows))
   return ExitCodes.OK
 }
--- a/program/cli/src/commands/explainRequest.ts
+++ b/program/cli/src/commands/explainRequest.ts
@@ -18,8 +18,8 @@
 }
 
 export async function handler (context: CommandContext, args: readonly string[], opts: ExplainRequestOptions): Promise<ExitCode> {
-  const [id, ...named] = args
-  const files = [...named, ...[opts.logs ?? []].flat().map(String)]
+  const [id, ...positional] = args
+  const files = [...positional, ...[opts.logs ?? []].flat().map(String)]
   if (id === undefined || files.length === 0) throw new PulleystackError('USAGE', 'Name a request and the logs to look into', { hint: 'pulleystack explain-request ID FILE...' })
   const lines = (await Promise.all(files.map(readLog))).flat()
   const story = buildStory(lines, id)
--- a/program/cli/src/commands/get.ts
+++ b/program/cli/src/commands/get.ts
@@ -34,8 +34,8 @@
 }
 
 export async function listObjects (context: CommandContext, opts: GetOptions, [kind, name]: readonly string[]): Promise<ListedObject[]> {
-  const answer = await new AdminClient(context, opts).get('/admin/objects', { kind, name, partner: opts.partner }) as { objects: ListedObject[] }
-  return answer.objects
+  const response = await new AdminClient(context, opts).get('/admin/objects', { kind, name, partner: opts.partner }) as { objects: ListedObject[] }
+  return response.objects
 }
 
 function formatLabels (labels: Record<string, string> = {}): string {
--- a/program/cli/src/commands/label.ts
+++ b/program/cli/src/commands/label.ts
@@ -16,16 +16,16 @@
 }
 
 export async function handler (context: CommandContext, args: readonly string[], opts: LabelOptions): Promise<ExitCode> {
-  const [kind, object, ...terms] = args
-  const labels = Object.fromEntries(terms.map(parseTerm))
-  const answer = await new AdminClient(context, opts).post('/admin/label', { kind, name: object, partner: opts.partner, labels }) as { action: string, version: number }
-  context.write(`${kind} ${object} ${answer.action}, version ${answer.version}`)
+  const [kind, object, ...changes] = args
+  const labels = Object.fromEntries(changes.map(parseLabelChange))
+  const response = await new AdminClient(context, opts).post('/admin/label', { kind, name: object, partner: opts.partner, labels }) as { action: string, version: number }
+  context.write(`${kind} ${object} ${response.action}, version ${response.version}`)
   return ExitCodes.OK
 }
 
-function parseTerm (term: string): [string, string | null] {
-  if (term.endsWith('-')) return [term.slice(0, -1), null]
-  const equals = term.indexOf('=')
-  if (equals > 0) return [term.slice(0, equals), term.slice(equals + 1)]
-  throw new PulleystackError('USAGE', `"${term}" is no label`, { hint: 'Write name=value, or name- to remove it.' })
+function parseLabelChange (change: string): [string, string | null] {
+  if (change.endsWith('-')) return [change.slice(0, -1), null]
+  const separator = change.indexOf('=')
+  if (separator > 0) return [change.slice(0, separator), change.slice(separator + 1)]
+  throw new PulleystackError('USAGE', `"${change}" is no label`, { hint: 'Write name=value, or name- to remove it.' })
 }
--- a/program/cli/src/commands/serve.ts
+++ b/program/cli/src/commands/serve.ts
@@ -27,9 +27,9 @@
 
 function handleSignals (instance: Instance): void {
   const stop = (): void => {
-    void instance.stop().then((cut) => {
-      if (cut > 0) process.stderr.write(`stop was cut short: ${cut} requests cut\n`)
-      process.exit(cut > 0 ? 1 : 0)
+    void instance.stop().then((abortedRequests) => {
+      if (abortedRequests > 0) process.stderr.write(`stop was cut short: ${abortedRequests} requests cut\n`)
+      process.exit(abortedRequests > 0 ? 1 : 0)
     })
   }
   process.on('SIGTERM', stop)
--- a/program/cli/src/commands/status.ts
+++ b/program/cli/src/commands/status.ts
@@ -7,9 +7,9 @@
 
 export type StatusOptions = ConnectionOptions & OutputOptions
 
-type ShownServer = InstanceStatus['shards'][number]['servers'][string]
+type ServerStatus = InstanceStatus['shards'][number]['servers'][string]
 
-interface StatusAnswer {
+interface StatusResponse {
   instances: InstanceStatus[]
   rejected: { key: string, version: number, error: string }[]
 }
@@ -24,19 +24,19 @@
 }
 
 export async function handler (context: CommandContext, _: readonly string[], opts: StatusOptions): Promise<ExitCode> {
-  const answer = await new AdminClient(context, opts).get('/admin/status') as StatusAnswer
-  const instances = answer.instances.map((it) => [it.instance, it.dataHall, it.state, it.ready, it.configVersion, it.objects, it.runners, it.queued])
-  context.write(formatOutput(opts, answer, ['instance', 'data hall', 'state', 'ready', 'config', 'objects', 'runners', 'queued'], instances))
+  const response = await new AdminClient(context, opts).get('/admin/status') as StatusResponse
+  const instances = response.instances.map((it) => [it.instance, it.dataHall, it.state, it.ready, it.configVersion, it.objects, it.runners, it.queued])
+  context.write(formatOutput(opts, response, ['instance', 'data hall', 'state', 'ready', 'config', 'objects', 'runners', 'queued'], instances))
   if (opts.output === 'json') return ExitCodes.OK
-  const shards = answer.instances.flatMap((it) => it.shards)
+  const shards = response.instances.flatMap((it) => it.shards)
   const servers = shards.flatMap((shard) => Object.entries(shard.servers).map(([id, server]) => describeServer(shard.shard, id, server)))
   if (servers.length > 0) context.write(`\n${formatOutput(opts, servers, ['accelerator', 'shard', 'used', 'of', 'resident'], servers)}`)
   for (const item of shards.flatMap((shard) => shard.unplaced)) context.write(`attention: ${item} has no room on any accelerator`)
-  for (const it of answer.rejected) context.write(`attention: ${it.key} version ${it.version} is not in force: ${it.error}`)
+  for (const it of response.rejected) context.write(`attention: ${it.key} version ${it.version} is not in force: ${it.error}`)
   return ExitCodes.OK
 }
 
-function describeServer (shard: string, id: string, server: ShownServer): unknown[] {
+function describeServer (shard: string, id: string, server: ServerStatus): unknown[] {
   const used = server.entries.reduce((sum, entry) => sum + entry.bytes, 0)
   const resident = server.entries.map((entry) => entry.state === 'ready' ? entry.item : `${entry.item} (${entry.state})`)
   return [id, shard, `${(used / GIB).toFixed(1)} GiB`, `${(server.capacity / GIB).toFixed(1)} GiB`, resident.join(' ')]
--- a/program/cli/src/commands/timeline.ts
+++ b/program/cli/src/commands/timeline.ts
@@ -39,7 +39,7 @@
   if (!render) throw new PulleystackError('USAGE', `Output "${opts.output}" is not known`, { hint: 'Use text, json or html.' })
   const { request, order, object, partner, server, model } = opts
   const limit = opts.limit === undefined ? undefined : String(opts.limit)
-  const answer = await new AdminClient(context, opts).get('/admin/timeline', { request, order, object, partner, server, model, limit }) as { events: TimelineEvent[] }
-  context.write(render(answer.events))
+  const response = await new AdminClient(context, opts).get('/admin/timeline', { request, order, object, partner, server, model, limit }) as { events: TimelineEvent[] }
+  context.write(render(response.events))
   return ExitCodes.OK
 }
--- a/program/cli/src/runCli.ts
+++ b/program/cli/src/runCli.ts
@@ -8,12 +8,12 @@
 /** Runs one command line; gives the exit code, or undefined while the command goes on. */
 export async function runCli (argv: readonly string[], context: CommandContext = createContext()): Promise<ExitCode | undefined> {
   const cli = cac('pulleystack')
-  let chosen: Promise<ExitCode | undefined> | undefined
+  let exitCode: Promise<ExitCode | undefined> | undefined
   for (const module of commands) {
     const command = cli.command(module.name, module.description)
     module.help(command)
-    command.action((...given: unknown[]) => {
-      chosen = runCommand(module, context, given)
+    command.action((...argsAndOptions: unknown[]) => {
+      exitCode = runCommand(module, context, argsAndOptions)
     })
   }
   cli.help()
@@ -21,9 +21,9 @@
   try {
     cli.parse([...argv], { run: false })
     if (cli.options.help || cli.options.version) return ExitCodes.OK
-    if (!cli.matchedCommand) return refuseUnknown(cli.args[0], () => cli.outputHelp())
+    if (!cli.matchedCommand) return reportUnknownCommand(cli.args[0], () => cli.outputHelp())
     await cli.runMatchedCommand()
-    return await chosen
+    return await exitCode
   } catch (thrown) {
     return reportError(thrown instanceof PulleystackError
       ? thrown
@@ -33,9 +33,9 @@
   }
 }
 
-async function runCommand (module: CommandModule, context: CommandContext, given: unknown[]): Promise<ExitCode | undefined> {
-  const opts = given.at(-1) as Record<string, unknown>
-  const args = given.slice(0, -1).flat().filter((arg) => arg !== undefined).map(String)
+async function runCommand (module: CommandModule, context: CommandContext, argsAndOptions: unknown[]): Promise<ExitCode | undefined> {
+  const opts = argsAndOptions.at(-1) as Record<string, unknown>
+  const args = argsAndOptions.slice(0, -1).flat().filter((arg) => arg !== undefined).map(String)
   try {
     return await module.handler(context, args, opts)
   } catch (thrown) {
@@ -43,7 +43,7 @@
   }
 }
 
-function refuseUnknown (name: string | undefined, showHelp: () => void): ExitCode {
+function reportUnknownCommand (name: string | undefined, showHelp: () => void): ExitCode {
   if (name === undefined) {
     showHelp()
     return ExitCodes.OK
@@ -64,7 +64,7 @@
   if (code === 'USAGE') return ExitCodes.USAGE
   if (code === 'VERSION_CONFLICT') return ExitCodes.CONFLICT
   if (code === 'INSTANCE_UNREACHABLE') return ExitCodes.UNREACHABLE
-  return code === 'INTERNAL' ? ExitCodes.FAILED : ExitCodes.REFUSED
+  return code === 'INTERNAL' ? ExitCodes.FAILED : ExitCodes.REJECTED
 }
 
 function createContext (): CommandContext {
--- a/program/cli/test/processes.test.ts
+++ b/program/cli/test/processes.test.ts
@@ -9,11 +9,11 @@
 import { readExample, readStreamText, sendCall, startStandIns, type DemoAnswer, type StandIns } from '@pulleystack/program.demo'
 
 const MAIN = path.join(import.meta.dirname, '../src/main.ts')
-const HALLS = ['san-jose', 'cartago', 'heredia']
-const LIFETIME_SECONDS = 1
-const WAIT_MS = 30_000
+const DATA_HALLS = ['san-jose', 'cartago', 'heredia']
+const DIRECTORY_LIFETIME_SECONDS = 1
+const TIMEOUT_MS = 30_000
 
-interface Started {
+interface InstanceProcess {
   name: string
   address: string
   child: ChildProcess
@@ -21,7 +21,7 @@
 }
 
 async function waitUntil (check: () => Promise<boolean>): Promise<void> {
-  const deadline = Date.now() + WAIT_MS
+  const deadline = Date.now() + TIMEOUT_MS
   while (!await check().catch(() => false)) {
     assert.ok(Date.now() < deadline, 'what was waited for did not come about')
     await new Promise((resolve) => setTimeout(resolve, 50))
@@ -31,9 +31,9 @@
 describe('separate processes', () => {
   let standIns: StandIns
   let dir: string
-  const started: Started[] = []
+  const instances: InstanceProcess[] = []
 
-  async function startProcess (name: string, dataHall: string): Promise<Started> {
+  async function startInstanceProcess (name: string, dataHall: string): Promise<InstanceProcess> {
     const file = path.join(dir, `${name}.jsonc`)
     const operators = ['peritos', 'shorewatch', 'platform'].map((partner) => ({ name: partner, partner, keyHashes: [hashAccessKey(`op-${partner}`)] }))
     await writeFile(file, JSON.stringify({
@@ -44,7 +44,7 @@
       peerKeyFile: path.join(dir, 'secret'),
       platform: { objectApi: standIns.objectApi, instanceList: standIns.instanceList, weightStore: standIns.weightStore },
       operators,
-      directory: { lifetimeSeconds: LIFETIME_SECONDS },
+      directory: { lifetimeSeconds: DIRECTORY_LIFETIME_SECONDS },
       placement: { orderDelayMs: 300, intervalMs: 200, leaseMs: 3_000 },
       log: 'warn',
     }))
@@ -53,18 +53,18 @@
     const line = await new Promise<string>((resolve) => child.stdout?.once('data', (chunk: Buffer) => resolve(chunk.toString())))
     const { address, peerAddress } = JSON.parse(line) as { address: string, peerAddress: string }
     standIns.list.setInstance({ id: name, role: InstanceRoles.ENTRY, address, peerAddress, region: 'central-plateau', dataHall, leaving: false, labels: {} })
-    const process_ = { name, address, child, exited }
-    started.push(process_)
+    const instance = { name, address, child, exited }
+    instances.push(instance)
     await waitUntil(async () => (await sendCall(address, { method: 'GET', path: '/readyz', key: '' })).status === 200)
-    return process_
+    return instance
   }
 
-  function draft (address: string, work: string, tokens: number): Promise<DemoAnswer> {
+  function requestDraft (address: string, work: string, tokens: number): Promise<DemoAnswer> {
     const body = { model: 'appeal-large', stream: true, max_tokens: tokens, prompt: `Appeal ${work}` }
     return sendCall(address, { method: 'POST', path: '/v1/completions', key: 'demo-peritos-firm', body })
   }
 
-  function stamp (address: string, work: string, deadlineMs = 8_000): Promise<DemoAnswer> {
+  function requestStamp (address: string, work: string, deadlineMs = 8_000): Promise<DemoAnswer> {
     const headers = { 'idempotency-key': work, 'work': work, 'pulleystack-deadline-ms': String(deadlineMs) }
     return sendCall(address, { method: 'POST', path: '/services/window/stamps', key: 'demo-peritos-notary', headers, body: {} })
   }
@@ -73,75 +73,75 @@
     dir = await mkdtemp(path.join(os.tmpdir(), 'pulleystack-'))
     await writeFile(path.join(dir, 'secret'), 'a secret of the peers')
     standIns = await startStandIns()
-    await Promise.all(HALLS.map((hall, i) => startProcess(`entry-${i + 1}`, hall)))
-    const address = (started[0] as Started).address
+    await Promise.all(DATA_HALLS.map((dataHall, i) => startInstanceProcess(`entry-${i + 1}`, dataHall)))
+    const address = (instances[0] as InstanceProcess).address
     for (const partner of ['platform', 'peritos', 'shorewatch']) {
       const answer = await sendCall(address, { method: 'POST', path: '/admin/apply', key: `op-${partner}`, body: { objects: readExample(`${partner}.jsonc`) } })
       assert.equal(answer.status, 200, answer.body)
     }
-    await waitUntil(async () => (await draft(address, 'first', 2)).status === 200)
+    await waitUntil(async () => (await requestDraft(address, 'first', 2)).status === 200)
   })
 
   after(async () => {
-    for (const { child } of started) child.kill('SIGKILL')
+    for (const { child } of instances) child.kill('SIGKILL')
     await standIns.close()
     await rm(dir, { recursive: true, force: true })
   })
 
   it('serve both partners from every process', async () => {
-    for (const { address } of started) {
-      assert.equal(readStreamText((await draft(address, 'parcel-1', 3)).body), 'parcel-1#0 parcel-1#1 parcel-1#2 ')
+    for (const { address } of instances) {
+      assert.equal(readStreamText((await requestDraft(address, 'parcel-1', 3)).body), 'parcel-1#0 parcel-1#1 parcel-1#2 ')
       assert.equal((await sendCall(address, { method: 'GET', path: '/services/gauges/1', key: 'demo-shorewatch-emergency' })).status, 200)
     }
   })
 
   it('cut nothing off in a planned stop: streams end whole, and listed addresses answer for their lifetime', async () => {
-    const leaving = await startProcess('entry-leaving', 'cartago')
-    await waitUntil(async () => (await draft(leaving.address, 'warm', 1)).status === 200)
-    const long = Array.from({ length: 4 }, (_, i) => draft(leaving.address, `long-${i}`, 400))
+    const leaving = await startInstanceProcess('entry-leaving', 'cartago')
+    await waitUntil(async () => (await requestDraft(leaving.address, 'warm', 1)).status === 200)
+    const longStreams = Array.from({ length: 4 }, (_, i) => requestDraft(leaving.address, `long-${i}`, 400))
     await new Promise((resolve) => setTimeout(resolve, 100))
     leaving.child.kill('SIGTERM')
     // A caller that was given this address just before keeps using it for as long as it was told to.
-    const during: DemoAnswer[] = []
-    const until = Date.now() + LIFETIME_SECONDS * 1000
-    while (Date.now() < until) during.push(await stamp(leaving.address, `stop-${during.length}`))
-    assert.ok(during.length > 0 && during.every((answer) => answer.status === 200))
-    const answers = await Promise.all(long)
+    const stamps: DemoAnswer[] = []
+    const directoryExpiresAt = Date.now() + DIRECTORY_LIFETIME_SECONDS * 1000
+    while (Date.now() < directoryExpiresAt) stamps.push(await requestStamp(leaving.address, `stop-${stamps.length}`))
+    assert.ok(stamps.length > 0 && stamps.every((answer) => answer.status === 200))
+    const answers = await Promise.all(longStreams)
     for (const [i, answer] of answers.entries()) assert.equal(readStreamText(answer.body)?.split(' ').length, 401, `stream ${i} was cut`)
     assert.equal(await leaving.exited, 0)
-    assert.ok([...standIns.plain.get('window-1')?.runs ?? []].every(([, runs]) => runs === 1))
+    assert.ok([...standIns.plainServices.get('window-1')?.runs ?? []].every(([, runs]) => runs === 1))
     standIns.list.removeInstance('entry-leaving')
   })
 
   it('notice a frozen process and go on without it, and take it back when it wakes', async () => {
-    const [first, , frozen] = started as [Started, Started, Started]
-    const states = async () => {
+    const [first, , frozen] = instances as [InstanceProcess, InstanceProcess, InstanceProcess]
+    const listInstances = async () => {
       const answer = await sendCall(first.address, { method: 'GET', path: '/admin/status', key: 'op-platform' })
       return (JSON.parse(answer.body) as { instances: { instance: string }[] }).instances.map((it) => it.instance)
     }
     frozen.child.kill('SIGSTOP')
-    await waitUntil(async () => !(await states()).includes(frozen.name))
-    assert.equal((await stamp(first.address, 'while-frozen')).status, 200)
+    await waitUntil(async () => !(await listInstances()).includes(frozen.name))
+    assert.equal((await requestStamp(first.address, 'while-frozen')).status, 200)
     frozen.child.kill('SIGCONT')
-    await waitUntil(async () => (await states()).includes(frozen.name))
-    assert.equal((await stamp(frozen.address, 'while-frozen')).status, 200)
-    assert.equal(standIns.plain.get('window-1')?.runs.get('while-frozen'), 1)
+    await waitUntil(async () => (await listInstances()).includes(frozen.name))
+    assert.equal((await requestStamp(frozen.address, 'while-frozen')).status, 200)
+    assert.equal(standIns.plainServices.get('window-1')?.runs.get('while-frozen'), 1)
   })
 
   it('never run a stamp twice when the process that took it is killed', async () => {
-    const window = standIns.plain.get('window-1')
+    const window = standIns.plainServices.get('window-1')
     assert.ok(window)
-    const [first, killed] = started as [Started, Started, Started]
+    const [first, killed] = instances as [InstanceProcess, InstanceProcess, InstanceProcess]
     window.delayMs = 400
-    const lost = Array.from({ length: 8 }, (_, i) => stamp(killed.address, `killed-${i}`).catch(() => undefined))
+    const requests = Array.from({ length: 8 }, (_, i) => requestStamp(killed.address, `killed-${i}`).catch(() => undefined))
     await new Promise((resolve) => setTimeout(resolve, 250))
     killed.child.kill('SIGKILL')
-    await Promise.all(lost)
+    await Promise.all(requests)
     window.delayMs = 1
-    const repeats = await Promise.all(Array.from({ length: 8 }, (_, i) => stamp(first.address, `killed-${i}`)))
+    const retries = await Promise.all(Array.from({ length: 8 }, (_, i) => requestStamp(first.address, `killed-${i}`)))
     for (let i = 0; i < 8; i++) {
       assert.ok((window.runs.get(`killed-${i}`) ?? 0) <= 1, `killed-${i} ran twice`)
-      const answer = repeats[i] as DemoAnswer
+      const answer = retries[i] as DemoAnswer
       if (answer.status !== 200) assert.equal(answer.headers['pulleystack-ran'] === 'no' && (window.runs.get(`killed-${i}`) ?? 0) > 0, false)
     }
   })
--- a/program/demo/src/DemoCaller.ts
+++ b/program/demo/src/DemoCaller.ts
@@ -7,7 +7,7 @@
   headers: http.IncomingHttpHeaders
   body: string
   /** False when the connection broke before the answer's end. */
-  whole: boolean
+  isComplete: boolean
 }
 
 /** One call over HTTP, as a caller of the system makes it. */
@@ -15,9 +15,9 @@
   address: string,
   opts: { method: string, path: string, key: string, headers?: http.OutgoingHttpHeaders, body?: unknown },
 ): Promise<DemoAnswer> {
-  const text = opts.body === undefined ? undefined : JSON.stringify(opts.body)
+  const requestBody = opts.body === undefined ? undefined : JSON.stringify(opts.body)
   const headers: http.OutgoingHttpHeaders = { authorization: `Bearer ${opts.key}`, ...opts.headers }
-  if (text !== undefined) Object.assign(headers, { 'content-type': 'application/json', 'content-length': Buffer.byteLength(text) })
+  if (requestBody !== undefined) Object.assign(headers, { 'content-type': 'application/json', 'content-length': Buffer.byteLength(requestBody) })
   return new Promise((resolve, reject) => {
     const request = http.request({ ...parseAddress(address), method: opts.method, path: opts.path, headers })
     request.on('error', reject)
@@ -27,11 +27,11 @@
       response.on('data', (chunk: string) => {
         body += chunk
       })
-      const finish = (whole: boolean) => resolve({ status: response.statusCode ?? 0, headers: response.headers, body, whole })
+      const finish = (isComplete: boolean) => resolve({ status: response.statusCode ?? 0, headers: response.headers, body, isComplete })
       response.on('end', () => finish(response.complete))
       response.on('error', () => finish(false))
     })
-    request.end(text)
+    request.end(requestBody)
   })
 }
 
--- a/program/demo/src/DemoSystem.ts
+++ b/program/demo/src/DemoSystem.ts
@@ -7,23 +7,23 @@
 import { startStandIns, type StandIns } from './startStandIns.js'
 
 const READY_TIMEOUT_MS = 30_000
-const CHECK_MS = 50
+const POLL_INTERVAL_MS = 50
 const REGION = 'central-plateau'
 
-export const DEMO_HALLS = ['san-jose', 'cartago', 'heredia'] as const
+export const DEMO_DATA_HALLS = ['san-jose', 'cartago', 'heredia'] as const
 
 /** Changes to the example settings, one group of fields at a time. */
-export type SettingsChange = { [K in keyof Settings]?: Partial<Settings[K]> }
+export type SettingsOverrides = { [K in keyof Settings]?: Partial<Settings[K]> }
 
 /** Entry instances in this process on embedded stand-ins; the demo, the tests and the benchmarks run it. */
 export class DemoSystem {
   readonly instances: Instance[] = []
 
-  private constructor (readonly standIns: StandIns, private readonly change: SettingsChange) {}
+  private constructor (readonly standIns: StandIns, private readonly overrides: SettingsOverrides) {}
 
-  static async start (opts: { instances: number, engines?: number, change?: SettingsChange }): Promise<DemoSystem> {
+  static async start (opts: { instances: number, engines?: number, change?: SettingsOverrides }): Promise<DemoSystem> {
     const system = new DemoSystem(await startStandIns({ engines: opts.engines }), opts.change ?? {})
-    for (let i = 0; i < opts.instances; i++) await system.addInstance(`entry-${i + 1}`, DEMO_HALLS[i % DEMO_HALLS.length] as string)
+    for (let i = 0; i < opts.instances; i++) await system.addInstance(`entry-${i + 1}`, DEMO_DATA_HALLS[i % DEMO_DATA_HALLS.length] as string)
     return system
   }
 
@@ -55,8 +55,8 @@
 
   /** Waits until every model of the examples, with its adapters, is ready somewhere and known to be. */
   async waitForModels (): Promise<void> {
-    const wanted = countWanted()
-    await this.waitUntil(async () => this.countReady() >= wanted)
+    const expected = countExampleModels()
+    await this.waitUntil(async () => this.countReady() >= expected)
     await this.waitUntil(async () => this.instances.every((instance) => instance.control.readStatus().runners >= this.standIns.engines.length))
     // Reports reach the instances a little later than the engines know.
     await new Promise((resolve) => setTimeout(resolve, 600))
@@ -72,7 +72,7 @@
     const deadline = performance.now() + READY_TIMEOUT_MS
     while (performance.now() < deadline) {
       if (await check()) return
-      await new Promise((resolve) => setTimeout(resolve, CHECK_MS))
+      await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS))
     }
     throw new PulleystackError('INTERNAL', 'What was waited for did not come about in time')
   }
@@ -94,17 +94,17 @@
       PULLEYSTACK_LOG: 'warn',
     })
     if (settings.isErr()) throw settings.error
-    const fast: SettingsChange = { placement: { orderDelayMs: 300, intervalMs: 200 } }
-    return mergeSettings(mergeSettings(settings.value, fast), this.change)
+    const shortIntervals: SettingsOverrides = { placement: { orderDelayMs: 300, intervalMs: 200 } }
+    return mergeSettings(mergeSettings(settings.value, shortIntervals), this.overrides)
   }
 }
 
-function mergeSettings (settings: Settings, change: SettingsChange): Settings {
-  const groups = Object.entries(change).map(([name, fields]) => [name, Object.assign({}, settings[name as keyof Settings], fields)])
+function mergeSettings (settings: Settings, overrides: SettingsOverrides): Settings {
+  const groups = Object.entries(overrides).map(([name, fields]) => [name, Object.assign({}, settings[name as keyof Settings], fields)])
   return { ...settings, ...Object.fromEntries(groups) } as Settings
 }
 
-function countWanted (): number {
+function countExampleModels (): number {
   const objects = ['peritos.jsonc', 'shorewatch.jsonc'].flatMap(readExample) as { kind: string }[]
   return objects.filter((object) => object.kind === 'Model' || object.kind === 'Adapter').length
 }
--- a/program/demo/src/demoTraffic.ts
+++ b/program/demo/src/demoTraffic.ts
@@ -2,7 +2,7 @@
 import { readStreamText, sendCall, type DemoAnswer } from './DemoCaller.js'
 import type { StandIns } from './startStandIns.js'
 
-const TOKENS = 24
+const TOKENS_PER_ANSWER = 24
 const ROUNDS = 40
 
 /** What the demo's callers saw, checked against what the stand-ins counted. */
@@ -12,7 +12,7 @@
   lost: number
   duplicated: number
   /** Request id of one streamed draft. */
-  sample: string
+  sampleRequestId: string
   byKind: Record<string, { sent: number, complete: number, worstMs: number }>
   failures: string[]
 }
@@ -27,7 +27,7 @@
 /** Sends mixed requests of both partners over all addresses. */
 export async function runTraffic (addresses: readonly string[], standIns: StandIns): Promise<DemoOutcome> {
   const random = new RandomSource(7)
-  const outcome: DemoOutcome = { requests: 0, complete: 0, lost: 0, duplicated: 0, sample: '', byKind: {}, failures: [] }
+  const outcome: DemoOutcome = { requests: 0, complete: 0, lost: 0, duplicated: 0, sampleRequestId: '', byKind: {}, failures: [] }
   for (let round = 0; round < ROUNDS; round++) {
     const calls = buildRound(round)
     await Promise.all(calls.map((call) => runCall(call, random.pickOne(addresses), outcome)))
@@ -39,19 +39,19 @@
 
 async function runCall (call: DemoCall, address: string, outcome: DemoOutcome): Promise<void> {
   const started = performance.now()
-  const answer = await call.send(address).catch((cause: Error): DemoAnswer => ({ status: 0, headers: {}, body: cause.message, whole: false }))
-  const kind = outcome.byKind[call.kind] ?? { sent: 0, complete: 0, worstMs: 0 }
-  outcome.byKind[call.kind] = kind
+  const answer = await call.send(address).catch((cause: Error): DemoAnswer => ({ status: 0, headers: {}, body: cause.message, isComplete: false }))
+  const counts = outcome.byKind[call.kind] ?? { sent: 0, complete: 0, worstMs: 0 }
+  outcome.byKind[call.kind] = counts
   outcome.requests++
-  kind.sent++
-  kind.worstMs = Math.max(kind.worstMs, performance.now() - started)
-  if (!answer.whole || !call.isComplete(answer)) {
+  counts.sent++
+  counts.worstMs = Math.max(counts.worstMs, performance.now() - started)
+  if (!answer.isComplete || !call.isComplete(answer)) {
     outcome.failures.push(`${call.kind} ${call.work}: status ${answer.status}, ${answer.body.slice(0, 200)}`)
     return
   }
   outcome.complete++
-  kind.complete++
-  if (call.kind === 'streamed draft') outcome.sample = String(answer.headers['pulleystack-request'])
+  counts.complete++
+  if (call.kind === 'streamed draft') outcome.sampleRequestId = String(answer.headers['pulleystack-request'])
 }
 
 function buildRound (round: number): DemoCall[] {
@@ -61,8 +61,8 @@
     buildReview(round),
     buildLookup('plot lookup', 'demo-peritos-notary', `/services/window/plots/${round}`, `plot-${round}`),
     buildLookup('gauge lookup', 'demo-shorewatch-emergency', `/services/gauges/status/${round}`, `gauge-${round}`),
-    buildRouted('routed lookup', 'GET', `/plots/${round}`, `routed-plot-${round}`),
-    buildRouted('routed filing', 'POST', `/filings/${round}`, `routed-filing-${round}`),
+    buildRoutedCall('routed lookup', 'GET', `/plots/${round}`, `routed-plot-${round}`),
+    buildRoutedCall('routed filing', 'POST', `/filings/${round}`, `routed-filing-${round}`),
     buildStamp(round),
     buildWarning(round),
   ]
@@ -70,23 +70,23 @@
 
 function buildDraft (kind: string, key: string, model: string, work: string): DemoCall {
   const content = `${'Facts of the parcel and the law that applies to it. '.repeat(12)} ${work}`
-  const body = { model, stream: true, max_tokens: TOKENS, messages: [{ role: 'user', content }] }
+  const body = { model, stream: true, max_tokens: TOKENS_PER_ANSWER, messages: [{ role: 'user', content }] }
   return {
     kind,
     work,
     send: (address) => sendCall(address, { method: 'POST', path: '/v1/chat/completions', key, body }),
-    isComplete: (answer) => readStreamText(answer.body) === buildExpected(work, TOKENS),
+    isComplete: (answer) => readStreamText(answer.body) === buildExpectedText(work, TOKENS_PER_ANSWER),
   }
 }
 
 function buildReview (round: number): DemoCall {
   const work = `review-${round}`
-  const body = { model: 'zoning-review', max_tokens: TOKENS, prompt: `Zoning of ${work}` }
+  const body = { model: 'zoning-review', max_tokens: TOKENS_PER_ANSWER, prompt: `Zoning of ${work}` }
   return {
     kind: 'whole review',
     work,
     send: (address) => sendCall(address, { method: 'POST', path: '/v1/completions', key: 'demo-peritos-firm', body }),
-    isComplete: (answer) => (JSON.parse(answer.body) as { choices?: { text: string }[] }).choices?.[0]?.text === buildExpected(work, TOKENS),
+    isComplete: (answer) => (JSON.parse(answer.body) as { choices?: { text: string }[] }).choices?.[0]?.text === buildExpectedText(work, TOKENS_PER_ANSWER),
   }
 }
 
@@ -100,7 +100,7 @@
 }
 
 /** A call that a route takes by its host and path. */
-function buildRouted (kind: string, method: string, path: string, work: string): DemoCall {
+function buildRoutedCall (kind: string, method: string, path: string, work: string): DemoCall {
   return {
     kind,
     work,
@@ -118,7 +118,7 @@
     work,
     send: async (address) => {
       const [first, second] = await Promise.all([sendCall(address, opts), sendCall(address, opts)])
-      return first.body === second.body ? first : { ...first, whole: false }
+      return first.body === second.body ? first : { ...first, isComplete: false }
     },
     isComplete: (answer) => answer.status === 200 && answer.body.includes(work),
   }
@@ -126,7 +126,7 @@
 
 function buildWarning (round: number): DemoCall {
   const work = `warning-${round}`
-  const body = { model: 'warning-superior', max_tokens: TOKENS, prompt: `Issue ${work}` }
+  const body = { model: 'warning-superior', max_tokens: TOKENS_PER_ANSWER, prompt: `Issue ${work}` }
   return {
     kind: 'warning, once',
     work,
@@ -135,14 +135,14 @@
   }
 }
 
-function buildExpected (work: string, tokens: number): string {
+function buildExpectedText (work: string, tokens: number): string {
   return Array.from({ length: tokens }, (_, i) => `${work.slice(0, 24)}#${i} `).join('')
 }
 
 /** Work of plain services that ran twice, and attempts that an engine began twice. */
 function countDuplicates (standIns: StandIns): number {
   let duplicates = 0
-  for (const service of standIns.plain.values()) {
+  for (const service of standIns.plainServices.values()) {
     for (const runs of service.runs.values()) duplicates += runs - 1
   }
   for (const engine of standIns.engines) duplicates += engine.batch.started.length - new Set(engine.batch.started).size
--- a/program/demo/src/readExample.ts
+++ b/program/demo/src/readExample.ts
@@ -3,13 +3,13 @@
 import { createRequire } from 'node:module'
 import { parse } from 'jsonc-parser'
 
-const DEPTH_OF_ROOT = '../../..'
+const PATH_TO_ROOT = '../../..'
 
 /** The text of a file in examples/: from inside the binary, or from the checkout. */
 export function readExampleText (file: string): string {
   const sea = loadSea()
   if (sea?.isSea()) return sea.getAsset(file, 'utf8')
-  return readFileSync(path.join(import.meta.dirname, DEPTH_OF_ROOT, 'examples', file), 'utf8')
+  return readFileSync(path.join(import.meta.dirname, PATH_TO_ROOT, 'examples', file), 'utf8')
 }
 
 /** The objects in a file of examples/. */
--- a/program/demo/src/runDemo.ts
+++ b/program/demo/src/runDemo.ts
@@ -1,5 +1,5 @@
 import { matchFilter, mergeEvents, renderText } from '@pulleystack/timeline.merge'
-import { DEMO_HALLS, DemoSystem } from './DemoSystem.js'
+import { DEMO_DATA_HALLS, DemoSystem } from './DemoSystem.js'
 import { runTraffic, type DemoOutcome } from './demoTraffic.js'
 
 export interface DemoOptions {
@@ -11,9 +11,9 @@
 /** Runs the whole system here; gives whether every promise was kept, or undefined when it goes on running. */
 export async function runDemo (opts: DemoOptions): Promise<boolean | undefined> {
   const { write } = opts
-  const system = await DemoSystem.start({ instances: DEMO_HALLS.length })
+  const system = await DemoSystem.start({ instances: DEMO_DATA_HALLS.length })
   const { standIns } = system
-  write(`platform, ${standIns.engines.length} engines and ${standIns.plain.size} plain services run over ${DEMO_HALLS.length} data halls`)
+  write(`platform, ${standIns.engines.length} engines and ${standIns.plainServices.size} plain services run over ${DEMO_DATA_HALLS.length} data halls`)
   write(`entry instances: ${system.instances.map((instance) => `${instance.name} ${instance.address}`).join(', ')}`)
   await system.applyExamples((partner, count) => write(`applied ${count} objects of ${partner}`))
   const started = performance.now()
@@ -22,7 +22,7 @@
   const outcome = await runTraffic(system.addresses, standIns)
   writeSummary(opts, outcome, system)
   if (!opts.once) {
-    writeInvitation(opts, system.addresses[0] ?? '')
+    writeNextSteps(opts, system.addresses[0] ?? '')
     return undefined
   }
   await system.close()
@@ -32,18 +32,21 @@
 
 function writeSummary (opts: DemoOptions, outcome: DemoOutcome, system: DemoSystem): void {
   opts.write('')
-  for (const [kind, count] of Object.entries(outcome.byKind)) {
-    opts.write(`  ${kind.padEnd(20)} ${String(count.complete).padStart(4)} of ${count.sent} complete, slowest ${count.worstMs.toFixed(0)} ms`)
+  for (const [kind, counts] of Object.entries(outcome.byKind)) {
+    opts.write(`  ${kind.padEnd(20)} ${String(counts.complete).padStart(4)} of ${counts.sent} complete, slowest ${counts.worstMs.toFixed(0)} ms`)
   }
   for (const failure of outcome.failures.slice(0, 5)) opts.write(`  failed: ${failure}`)
   const overcommitted = system.standIns.engines.filter((engine) => engine.memory.overcommitted).length
   opts.write(`  accelerators overcommitted: ${overcommitted}; writes to the object API: ${system.standIns.store.counts.writes}`)
   opts.write('\ntime line of one streamed draft:')
-  const lists = system.instances.map((instance) => ({ events: instance.ring.list((event) => matchFilter(event, { request: outcome.sample })), offsetMs: 0 }))
-  opts.write(`${renderText(mergeEvents(lists))}\n`)
+  const timelines = system.instances.map((instance) => ({
+    events: instance.ring.list((event) => matchFilter(event, { request: outcome.sampleRequestId })),
+    offsetMs: 0,
+  }))
+  opts.write(`${renderText(mergeEvents(timelines))}\n`)
 }
 
-function writeInvitation (opts: DemoOptions, address: string): void {
+function writeNextSteps (opts: DemoOptions, address: string): void {
   opts.write('it goes on running until Ctrl-C; try:\n')
   opts.write(`  curl -N http://${address}/v1/chat/completions -H 'Authorization: Bearer demo-peritos-firm' \\`)
   opts.write('    -d \'{"model":"appeal-large","stream":true,"max_tokens":20,"messages":[{"role":"user","content":"Appeal for parcel-1"}]}\'')
--- a/program/demo/src/startStandIns.ts
+++ b/program/demo/src/startStandIns.ts
@@ -18,7 +18,7 @@
   store: MemoryObjectStore
   list: MemoryInstanceList
   engines: FakeEngine[]
-  plain: Map<string, FakeService>
+  plainServices: Map<string, FakeService>
   gate: WeightGate
   objectApi: string
   instanceList: string
@@ -27,12 +27,12 @@
 }
 
 const GIB = 1024 ** 3
-const MEMORY_BYTES = 40 * GIB
+const ENGINE_MEMORY_BYTES = 40 * GIB
 const REGION = 'central-plateau'
-const HALLS = ['san-jose', 'cartago', 'heredia'] as const
+const DATA_HALLS = ['san-jose', 'cartago', 'heredia'] as const
 const PLAIN_SERVICES = { 'window-1': 'peritos/window', 'gauge-1': 'shorewatch/gauges' } as const
 
-type Servers = [LoopbackServer, LoopbackServer, LoopbackServer]
+type PlatformServers = [LoopbackServer, LoopbackServer, LoopbackServer]
 
 /** Starts four engines and two plain services over three data halls, and the platform. */
 export async function startStandIns (opts: { engines?: number, bytesPerSecond?: number } = {}): Promise<StandIns> {
@@ -40,21 +40,25 @@
   const store = new MemoryObjectStore({ clock })
   const list = new MemoryInstanceList({ clock })
   const gate = new WeightGate({ clock, limits: { loadsPerSecond: 20, loadsAtOnce: 8, bytesPerSecond: opts.bytesPerSecond ?? 40 * GIB } })
-  const servers = await Promise.all([serveObjectStore(store), serveInstanceList(list), serveWeightStore(gate)]) as Servers
+  const servers = await Promise.all([serveObjectStore(store), serveInstanceList(list), serveWeightStore(gate)]) as PlatformServers
   const engines = await startEngines(clock, list, gate, opts.engines ?? 4)
-  const plain = await startPlain(clock, list)
+  const services = await startPlainServices(clock, list)
   return {
     clock,
     store,
     list,
     engines,
-    plain,
+    plainServices: services,
     gate,
     objectApi: servers[0].address,
     instanceList: servers[1].address,
     weightStore: servers[2].address,
     close: async () => {
-      await Promise.all([...servers.map((server) => server.close()), ...engines.map((engine) => engine.kill()), ...[...plain.values()].map((it) => it.kill())])
+      await Promise.all([
+        ...servers.map((server) => server.close()),
+        ...engines.map((engine) => engine.kill()),
+        ...[...services.values()].map((it) => it.kill()),
+      ])
     },
   }
 }
@@ -62,16 +66,16 @@
 async function startEngines (clock: Clock, list: MemoryInstanceList, gate: WeightGate, count: number): Promise<FakeEngine[]> {
   const engines: FakeEngine[] = []
   for (let i = 0; i < count; i++) {
-    const engine = await FakeEngine.start({ clock, memoryBytes: MEMORY_BYTES, gate, checksFences: i % 2 === 0 })
+    const engine = await FakeEngine.start({ clock, memoryBytes: ENGINE_MEMORY_BYTES, gate, checksFences: i % 2 === 0 })
     list.setInstance({
       id: `engine-${i + 1}`,
       role: InstanceRoles.ENGINE,
       address: engine.address,
       region: REGION,
-      dataHall: HALLS[i % HALLS.length] as string,
+      dataHall: DATA_HALLS[i % DATA_HALLS.length] as string,
       leaving: false,
       labels: { accelerator: 'a' },
-      memoryBytes: MEMORY_BYTES,
+      memoryBytes: ENGINE_MEMORY_BYTES,
       checksFences: i % 2 === 0,
     })
     engines.push(engine)
@@ -79,8 +83,8 @@
   return engines
 }
 
-async function startPlain (clock: Clock, list: MemoryInstanceList): Promise<Map<string, FakeService>> {
-  const plain = new Map<string, FakeService>()
+async function startPlainServices (clock: Clock, list: MemoryInstanceList): Promise<Map<string, FakeService>> {
+  const services = new Map<string, FakeService>()
   for (const [id, service] of Object.entries(PLAIN_SERVICES)) {
     const server = await FakeService.start({ clock, delayMs: 1 })
     list.setInstance({
@@ -88,12 +92,12 @@
       role: InstanceRoles.PLAIN,
       address: server.address,
       region: REGION,
-      dataHall: HALLS[plain.size] as string,
+      dataHall: DATA_HALLS[services.size] as string,
       leaving: false,
       labels: {},
       services: [service],
     })
-    plain.set(id, server)
+    services.set(id, server)
   }
-  return plain
+  return services
 }
--- a/program/entry/src/ClientConnections.ts
+++ b/program/entry/src/ClientConnections.ts
@@ -2,18 +2,18 @@
 import type { Socket } from 'node:net'
 import type { Clock } from '@pulleystack/core.clock'
 
-const UNREADABLE_ANSWER = 'HTTP/1.1 400 Bad Request\r\nconnection: close\r\ncontent-length: 0\r\n\r\n'
+const BAD_REQUEST_RESPONSE = 'HTTP/1.1 400 Bad Request\r\nconnection: close\r\ncontent-length: 0\r\n\r\n'
 
 /** One connection of a client. */
 interface ClientConnection {
   /** The newest request; undefined while none is in hand. */
-  turn: Promise<void> | undefined
+  lastRequest: Promise<void> | undefined
   /** Bytes that had come when its newest answer left; undefined before the first. */
-  restsAt: number | undefined
+  bytesReadWhenIdle: number | undefined
 }
 
 /** Serves a request, whose head came at a monotone time, until its answer has left. */
-export type ServeRequest = (request: http.IncomingMessage, response: http.ServerResponse, arrivedAt: number) => Promise<void>
+export type RequestHandler = (request: http.IncomingMessage, response: http.ServerResponse, arrivedAt: number) => Promise<void>
 
 /**
  * The connections of clients and what is in hand on each. Requests of one connection are served one after the other, so that none is passed
@@ -22,27 +22,27 @@
 export class ClientConnections {
   private readonly connections = new Map<Socket, ClientConnection>()
 
-  constructor (private readonly clock: Clock, private readonly serve: ServeRequest) {}
+  constructor (private readonly clock: Clock, private readonly serve: RequestHandler) {}
 
   /** Knows the connection until it closes. */
   add (socket: Socket): void {
-    this.connections.set(socket, { turn: undefined, restsAt: undefined })
+    this.connections.set(socket, { lastRequest: undefined, bytesReadWhenIdle: undefined })
     socket.once('close', () => this.connections.delete(socket))
   }
 
   /** Serves a request once those before it on its connection have their answers; drops it when the connection closes before. */
-  async take (request: http.IncomingMessage, response: http.ServerResponse): Promise<void> {
+  async handle (request: http.IncomingMessage, response: http.ServerResponse): Promise<void> {
     const connection = this.connections.get(request.socket)
     if (!connection) return
     const arrivedAt = this.clock.readTime()
-    const turn = connection.turn
-      ? connection.turn.then(() => this.serveNext(request, response, arrivedAt))
+    const currentRequest = connection.lastRequest
+      ? connection.lastRequest.then(() => this.serveIfWritable(request, response, arrivedAt))
       : this.serve(request, response, arrivedAt)
-    connection.turn = turn
-    await turn
-    if (connection.turn !== turn) return
-    connection.turn = undefined
-    connection.restsAt = request.socket.bytesRead
+    connection.lastRequest = currentRequest
+    await currentRequest
+    if (connection.lastRequest !== currentRequest) return
+    connection.lastRequest = undefined
+    connection.bytesReadWhenIdle = request.socket.bytesRead
   }
 
   /**
@@ -50,8 +50,8 @@
    * cut what a slow client still reads.
    */
   closeIdle (): void {
-    for (const [socket, { turn, restsAt }] of this.connections) {
-      if (!turn && restsAt === socket.bytesRead) socket.destroy()
+    for (const [socket, { lastRequest, bytesReadWhenIdle }] of this.connections) {
+      if (!lastRequest && bytesReadWhenIdle === socket.bytesRead) socket.destroy()
     }
   }
 
@@ -59,13 +59,13 @@
    * Ends a connection on which bytes came that are no request. While a request is in hand an answer to them would stand in the midst of that
    * one's, so that the client gets none.
    */
-  closeUnreadable (socket: Socket): void {
-    const isInHand = this.connections.get(socket)?.turn !== undefined
-    if (socket.writable && !isInHand) socket.end(UNREADABLE_ANSWER)
+  closeMalformed (socket: Socket): void {
+    const hasActiveRequest = this.connections.get(socket)?.lastRequest !== undefined
+    if (socket.writable && !hasActiveRequest) socket.end(BAD_REQUEST_RESPONSE)
     else socket.destroy()
   }
 
-  private async serveNext (request: http.IncomingMessage, response: http.ServerResponse, arrivedAt: number): Promise<void> {
+  private async serveIfWritable (request: http.IncomingMessage, response: http.ServerResponse, arrivedAt: number): Promise<void> {
     if (request.socket.writable) await this.serve(request, response, arrivedAt)
   }
 }
--- a/program/entry/src/NamedInstances.ts
+++ b/program/entry/src/DirectoryLog.ts
@@ -3,16 +3,16 @@
 import { DecisionKinds, type DecisionLog } from '@pulleystack/timeline.decisions'
 
 /** Logs whom answers of the directory name, whenever that changes. */
-export class NamedInstances {
-  private named: ReadonlySet<string> = new Set()
+export class DirectoryLog {
+  private advertised: ReadonlySet<string> = new Set()
 
   constructor (private readonly log: DecisionLog, private readonly mesh: Pick<InstanceMesh, 'describeServing'>) {}
 
-  note (identities: readonly PeerIdentity[]): void {
-    const named = new Set(identities.map((identity) => identity.instance))
-    const added = [...named].filter((instance) => !this.named.has(instance))
-    const removed = [...this.named].filter((instance) => !named.has(instance))
-    this.named = named
+  update (identities: readonly PeerIdentity[]): void {
+    const advertised = new Set(identities.map((identity) => identity.instance))
+    const added = [...advertised].filter((instance) => !this.advertised.has(instance))
+    const removed = [...this.advertised].filter((instance) => !advertised.has(instance))
+    this.advertised = advertised
     if (added.length + removed.length === 0) return
     this.log.record(DecisionKinds.DIRECTORY_CHANGED, { added, removed, ...this.mesh.describeServing() })
   }
--- a/program/entry/src/EntryMetrics.ts
+++ b/program/entry/src/EntryMetrics.ts
@@ -8,7 +8,7 @@
 const LATENCY_BUCKETS = [0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3, 5, 10, 15]
 
 /** Teams with figures of their own; the rest are counted together. */
-const MAX_TEAMS = 64
+const MAX_TEAM_LABELS = 64
 const OTHER_TEAMS = 'others'
 
 /** What the figures are read from. */
@@ -18,10 +18,10 @@
   network: Pick<WebSocketNetwork, 'backlogBytes' | 'unsentFrames'>
   epochs: Pick<StoreEpochs, 'newest' | 'changes'>
   readConfigVersion: () => number
-  readWaiting: () => number
-  readSuspects: () => number
+  countWaiting: () => number
+  countSuspects: () => number
   /** The copies that this instance holds; none before it serves. */
-  listCopies: () => readonly { prefix: string, ageMs: number }[]
+  listReplicas: () => readonly { prefix: string, ageMs: number }[]
   readTimerDelayMs: () => number
 }
 
@@ -56,12 +56,12 @@
     this.addGauge('config_version', 'Version of the routing configuration in force', opts.readConfigVersion)
     this.addGauge('backends', 'Backend servers known', () => opts.fleet.listAll().length)
     this.addGauge('peers', 'Other instances with a live link', () => opts.mesh.listLive().length)
-    this.addGauge('waiting_requests', 'Requests that wait for a place', opts.readWaiting)
-    this.addGauge('suspect_requests', 'Requests that are remembered since a server ended under them', opts.readSuspects)
+    this.addGauge('waiting_requests', 'Requests that wait for a place', opts.countWaiting)
+    this.addGauge('suspect_requests', 'Requests that are remembered since a server ended under them', opts.countSuspects)
     this.addGauge('peer_backlog_bytes', 'Bytes that wait to leave for peers', () => opts.network.backlogBytes)
     this.addGauge('timer_delay_seconds', 'Longest delay of a timer in the last seconds', () => opts.readTimerDelayMs() / 1000)
     this.addGauge('store_epoch', 'Epoch of the store that was seen last; 0 where it names none', () => opts.epochs.newest ?? 0)
-    this.addCopyAges(opts.listCopies)
+    this.addReplicaAges(opts.listReplicas)
     this.addRestores(opts.epochs)
     this.addUnsentFrames(() => opts.network.unsentFrames)
   }
@@ -73,7 +73,7 @@
   }
 
   countUnits (team: string, outcome: QuotaOutcome, units: number): void {
-    if (this.teams.size < MAX_TEAMS) this.teams.add(team)
+    if (this.teams.size < MAX_TEAM_LABELS) this.teams.add(team)
     this.units.inc({ team: this.teams.has(team) ? team : OTHER_TEAMS, outcome }, units)
   }
 
@@ -82,14 +82,14 @@
     return this.registry.metrics()
   }
 
-  private addCopyAges (listCopies: EntryMetricsOptions['listCopies']): void {
+  private addReplicaAges (listReplicas: EntryMetricsOptions['listReplicas']): void {
     new Gauge({
       name: 'pulleystack_copy_age_seconds',
       help: 'Time since a copy was known to be what the store holds; infinite when that was never known',
       labelNames: ['prefix'],
       registers: [this.registry],
       collect () {
-        for (const { prefix, ageMs } of listCopies()) this.set({ prefix }, ageMs / 1000)
+        for (const { prefix, ageMs } of listReplicas()) this.set({ prefix }, ageMs / 1000)
       },
     })
   }
--- a/program/entry/src/StopPlan.ts
+++ b/program/entry/src/StopPlan.ts
@@ -1,11 +1,11 @@
 /** Clients may keep an old list for three of its lifetimes. */
-const LIFETIMES = 3
+const MAX_LIST_LIFETIMES = 3
 /** Time before the end in which nothing new is begun. */
-const FINISH_MS = 3_400
+const FINISH_PERIOD_MS = 3_400
 /** The process ends so long before the grace time does. */
-const LAST_MS = 500
+const EXIT_MARGIN_MS = 500
 /** Work that may outlast the grace time is begun for so long after the request to stop, as clients still come with old lists. */
-const LONG_WORK_MS = 2_750
+const LONG_REQUEST_PERIOD_MS = 2_750
 
 export interface StopPlanOptions {
   /** Monotone time of the request to stop. */
@@ -26,21 +26,21 @@
   /** Clients no longer come with an old list, or what they bring could not be finished. */
   get servesUntil (): number {
     const { startedAt, graceMs, directoryLifetimeMs } = this.opts
-    return startedAt + Math.min(directoryLifetimeMs * LIFETIMES, graceMs - FINISH_MS)
+    return startedAt + Math.min(directoryLifetimeMs * MAX_LIST_LIFETIMES, graceMs - FINISH_PERIOD_MS)
   }
 
   /** Requests that still wait for a place by then go to another instance, which may have more time for them. */
   get waitsUntil (): number {
-    return Math.min(this.servesUntil, this.opts.startedAt + LONG_WORK_MS)
+    return Math.min(this.servesUntil, this.opts.startedAt + LONG_REQUEST_PERIOD_MS)
   }
 
   get endsAt (): number {
-    return this.opts.startedAt + this.opts.graceMs - LAST_MS
+    return this.opts.startedAt + this.opts.graceMs - EXIT_MARGIN_MS
   }
 
   /** Whether a request that may last until its deadline may begin; one that would be cut at the end is better refused. */
   mayBegin (now: number, deadline: number): boolean {
     if (now >= this.servesUntil) return false
-    return now < this.startedAt + LONG_WORK_MS || deadline <= this.endsAt
+    return now < this.startedAt + LONG_REQUEST_PERIOD_MS || deadline <= this.endsAt
   }
 }
--- a/program/entry/src/TimerDelay.ts
+++ b/program/entry/src/TimerDelay.ts
@@ -1,9 +1,9 @@
 import type { Clock } from '@pulleystack/core.clock'
 
 /** Two samples a second show an event loop that is held up for long, at next to no processor time. */
-const SAMPLE_MS = 500
+const SAMPLE_INTERVAL_MS = 500
 /** Figures are fetched every 5 s, so that each sample is seen in one of them. */
-const KEPT_SAMPLES = 10
+const MAX_SAMPLES = 10
 
 /** Measures how late the event loop runs its timers. */
 export class TimerDelay {
@@ -23,9 +23,9 @@
 
   private async run (signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      const dueAt = this.clock.readTime() + SAMPLE_MS
-      await this.clock.wait(SAMPLE_MS, signal)
-      this.samples = [...this.samples, this.clock.readTime() - dueAt].slice(-KEPT_SAMPLES)
+      const dueAt = this.clock.readTime() + SAMPLE_INTERVAL_MS
+      await this.clock.wait(SAMPLE_INTERVAL_MS, signal)
+      this.samples = [...this.samples, this.clock.readTime() - dueAt].slice(-MAX_SAMPLES)
     }
   }
 }
--- a/program/entry/src/createGateway.ts
+++ b/program/entry/src/createGateway.ts
@@ -11,7 +11,7 @@
 import { CountedLimits, PooledLimits, type TeamLimits } from '@pulleystack/routing.limits'
 import { LoneRunRule, Quarantine } from '@pulleystack/routing.quarantine'
 import { RetryBudgets } from '@pulleystack/routing.retries'
-import { describeStanding, listServing } from './describeStanding.js'
+import { describeMembership, listServing } from './describeMembership.js'
 import type { EntryMetrics } from './EntryMetrics.js'
 import type { EntryParts } from './EntryParts.js'
 import { listNearFirst } from './listAddresses.js'
@@ -82,7 +82,7 @@
   const bounds = settings.bounds.quota
   if (!bounds) return undefined
   if (!policy.pooledQuotas) return new CountedLimits({ clock, network, readTable })
-  return new PooledLimits({ clock, network, standing: describeStanding(mesh), readTable, bounds })
+  return new PooledLimits({ clock, network, standing: describeMembership(mesh), readTable, bounds })
 }
 
 /** What all instances together know of requests under which servers ended. */
--- a/program/entry/src/createMesh.ts
+++ b/program/entry/src/createMesh.ts
@@ -6,10 +6,10 @@
 import { DecisionKinds } from '@pulleystack/timeline.decisions'
 import type { EntryParts } from './EntryParts.js'
 
-const HEARTBEAT_MS = 1_000
+const HEARTBEAT_INTERVAL_MS = 1_000
 const SUSPECT_AFTER_MS = 2_400
 /** Time in which instances that start together find each other. */
-const SETTLE_MS = 2_500
+const FIRST_START_SETTLE_MS = 2_500
 
 /** The links to other instances, and which of those serve. */
 export function createMesh (parts: EntryParts & { random: RandomSource }): { network: WebSocketNetwork, mesh: InstanceMesh } {
@@ -35,13 +35,13 @@
     port,
     readIdentity: () => self,
     findAddress: (instance) => mesh.findAddress(instance),
-    heartbeatMs: HEARTBEAT_MS,
+    heartbeatMs: HEARTBEAT_INTERVAL_MS,
     suspectAfterMs: SUSPECT_AFTER_MS,
     privateNetwork: true,
     onUnsent: (report) => log.record(DecisionKinds.FRAMES_NOT_SENT, report),
   })
   const { seeds, isFirstStart } = settings
-  const settleMs = isFirstStart ? SETTLE_MS : 0
+  const settleMs = isFirstStart ? FIRST_START_SETTLE_MS : 0
   const mesh: InstanceMesh = new InstanceMesh({ clock, store: deps.store, network, log, self, seeds, isFirstStart, settleMs })
   return { network, mesh }
 }
--- a/program/entry/src/createMetrics.ts
+++ b/program/entry/src/createMetrics.ts
@@ -13,15 +13,15 @@
   mesh: InstanceMesh
   network: WebSocketNetwork
   readTable: () => RouteTable | undefined
-  readWaiting: () => number
-  readSuspects: () => number
-  listCopies: () => readonly StoreFeed[]
+  countWaiting: () => number
+  countSuspects: () => number
+  listReplicas: () => readonly StoreFeed[]
   signal: AbortSignal
 }
 
 /** The figures, timers' delay among them, which is sampled until the signal ends. */
 export function createMetrics (parts: MetricsParts): EntryMetrics {
-  const { clock, deps, fleet, mesh, network, readTable, readWaiting, readSuspects, listCopies, signal } = parts
+  const { clock, deps, fleet, mesh, network, readTable, countWaiting, countSuspects, listReplicas, signal } = parts
   const timerDelay = new TimerDelay(clock)
   timerDelay.start(signal)
   return new EntryMetrics({
@@ -30,9 +30,9 @@
     network,
     epochs: deps.store.epochs,
     readConfigVersion: () => readTable()?.config.version ?? 0,
-    readWaiting,
-    readSuspects,
-    listCopies,
+    countWaiting,
+    countSuspects,
+    listReplicas,
     readTimerDelayMs: () => timerDelay.longestMs,
   })
 }
--- a/program/entry/src/createResidency.ts
+++ b/program/entry/src/createResidency.ts
@@ -26,7 +26,7 @@
 /** The lease on placing models, and what its holder does with it. */
 export function createResidency (parts: ResidencyParts): ResidencyService {
   const { settings, deps, clock, log, fleet, network, mesh } = parts
-  const life = `${settings.instance}@${mesh.self.incarnation}`
+  const processRun = `${settings.instance}@${mesh.self.incarnation}`
   // A successor's first order must come a whole bound after the last one of its predecessor, who orders until
   // (life - delay) after a renewal; the successor waits for life + 2 delays, so that a third of the bound each is enough.
   const delayMs = parts.orderDelayMs ?? settings.bounds.leaseMs / 3
@@ -35,7 +35,7 @@
     clock,
     store: deps.store,
     shard: SHARD,
-    holder: life,
+    holder: processRun,
     leaseMs,
     orderDelayMs: delayMs,
     createOperation: randomUUID,
@@ -69,7 +69,7 @@
     instance: settings.instance,
     lease,
     leaseMs,
-    life,
+    life: processRun,
     turnMs: settings.bounds.leaseMs,
     holder,
     grants,
--- a/program/entry/src/describeStanding.ts
+++ b/program/entry/src/describeMembership.ts
@@ -2,7 +2,7 @@
 import type { LimitsStanding } from '@pulleystack/routing.limits'
 
 /** How this instance stands among those that share rates. */
-export function describeStanding (mesh: InstanceMesh): LimitsStanding {
+export function describeMembership (mesh: InstanceMesh): LimitsStanding {
   return {
     instance: mesh.self.instance,
     countInstances: () => mesh.countKnown(),
--- a/program/entry/src/listAddresses.ts
+++ b/program/entry/src/listAddresses.ts
@@ -4,7 +4,7 @@
 export function listAddresses (entry: Entry, dataHall: string): string[] {
   const self = entry.readPhase() === EntryPhases.READY ? [entry.mesh.self] : []
   const serving = [...self, ...entry.mesh.listServing()]
-  entry.named.note(serving)
+  entry.directory.update(serving)
   return listNearFirst(serving, dataHall).map((it) => it.address)
 }
 
--- a/program/entry/src/listenForClients.ts
+++ b/program/entry/src/listenForClients.ts
@@ -4,10 +4,10 @@
 import { ClientConnections } from './ClientConnections.js'
 import type { Entry } from './startEntry.js'
 
-const HEADER_BYTES = 32 << 10
-const DEFAULT_IDLE_MS = 60_000
-const DEFAULT_HEADER_MS = 10_000
-const LIMITS_MS = 1_000
+const MAX_HEADER_BYTES = 32 << 10
+const DEFAULT_IDLE_TIMEOUT_MS = 60_000
+const DEFAULT_HEADER_TIMEOUT_MS = 10_000
+const LIMITS_RELOAD_INTERVAL_MS = 1_000
 
 /** The listener for routed requests. */
 export interface ClientListener {
@@ -19,32 +19,32 @@
 
 /** Serves routed requests at the instance's client address. */
 export async function listenForClients (entry: Entry): Promise<ClientListener> {
-  const options: http.ServerOptions = { maxHeaderSize: HEADER_BYTES, requestTimeout: 0, noDelay: true, keepAliveTimeout: DEFAULT_IDLE_MS }
+  const options: http.ServerOptions = { maxHeaderSize: MAX_HEADER_BYTES, requestTimeout: 0, noDelay: true, keepAliveTimeout: DEFAULT_IDLE_TIMEOUT_MS }
   const connections = new ClientConnections(entry.clock, (request, response, arrivedAt) => entry.gateway.handle(request, response, arrivedAt))
   const server = http.createServer(options, (request, response) => {
     // Parts of a request that was refused may still come; they must not end the process.
     request.on('error', () => undefined)
     response.on('error', () => undefined)
-    void connections.take(request, response)
+    void connections.handle(request, response)
   })
   server.on('connection', (socket) => connections.add(socket))
-  server.on('clientError', (_, socket) => connections.closeUnreadable(socket as Socket))
+  server.on('clientError', (_, socket) => connections.closeMalformed(socket as Socket))
   const { host, port } = parseAddress(entry.settings.clientAddress)
   await new Promise<void>((resolve, reject) => {
     server.once('error', reject)
     server.listen(port, host, resolve)
   })
   entry.mesh.announce({ address: `${host}:${(server.address() as AddressInfo).port}` })
-  void keepLimits(entry, server)
+  void reloadLimits(entry, server)
   return { closeIdle: () => connections.closeIdle(), close: () => server.close() }
 }
 
 /** Takes limits on clients' connections from the configuration in force. */
-async function keepLimits (entry: Entry, server: http.Server): Promise<void> {
+async function reloadLimits (entry: Entry, server: http.Server): Promise<void> {
   while (!entry.ended.signal.aborted) {
     const limits = entry.readTable()?.config.limits
-    server.keepAliveTimeout = limits?.idleTimeoutMs ?? DEFAULT_IDLE_MS
-    server.headersTimeout = limits?.headerTimeoutMs ?? DEFAULT_HEADER_MS
-    await entry.clock.wait(LIMITS_MS, entry.ended.signal)
+    server.keepAliveTimeout = limits?.idleTimeoutMs ?? DEFAULT_IDLE_TIMEOUT_MS
+    server.headersTimeout = limits?.headerTimeoutMs ?? DEFAULT_HEADER_TIMEOUT_MS
+    await entry.clock.wait(LIMITS_RELOAD_INTERVAL_MS, entry.ended.signal)
   }
 }
--- a/program/entry/src/startEntry.ts
+++ b/program/entry/src/startEntry.ts
@@ -15,18 +15,18 @@
 import { createMesh } from './createMesh.js'
 import { createMetrics } from './createMetrics.js'
 import { createResidency } from './createResidency.js'
+import { DirectoryLog } from './DirectoryLog.js'
 import type { EntryMetrics } from './EntryMetrics.js'
 import type { EntryParts } from './EntryParts.js'
 import type { EntrySettings } from './EntrySettings.js'
 import type { EntryDependencies } from './EntrySources.js'
-import { NamedInstances } from './NamedInstances.js'
 import { startQueue } from './startQueue.js'
-import { startStatements } from './startStatements.js'
+import { startStatusReceiver } from './startStatusReceiver.js'
 import type { StopPlan } from './StopPlan.js'
 import { watchSources, type SourceFeeds } from './watchSources.js'
 
 /** An instance looks so often whether it is one of those that serve. */
-const ROLE_MS = 100
+const ROLE_CHECK_INTERVAL_MS = 100
 
 /** Where an instance stands between its start and its end. */
 export const EntryPhases = {
@@ -53,7 +53,7 @@
   metrics: EntryMetrics
   fleet: BackendFleet
   /** Whom the directory named last. */
-  named: NamedInstances
+  directory: DirectoryLog
   readTable: () => RouteTable | undefined
   readPhase: () => EntryPhase
   /** Whether a request that comes now would be served, here or by an instance that it is handed on to. */
@@ -78,9 +78,9 @@
 export async function startEntry (
   settings: EntrySettings,
   deps: EntryDependencies,
-  it: StartOptions,
+  opts: StartOptions,
 ): Promise<Entry> {
-  const { log, policy = DEFAULT_POLICY, clock = new SystemClock(), random = new RandomSource() } = it
+  const { log, policy = DEFAULT_POLICY, clock = new SystemClock(), random = new RandomSource() } = opts
   const ended = new AbortController()
   // Every task of the instance waits for this signal.
   setMaxListeners(0, ended.signal)
@@ -92,21 +92,21 @@
   }
   const fleet = new BackendFleet()
   const readTable = (): RouteTable | undefined => state.table
-  recordRestored(deps.store, log, ended.signal)
+  recordStoreRestores(deps.store, log, ended.signal)
   const { network, mesh } = createMesh({ settings, deps, clock, random, log })
   const parts = { settings, deps, clock, log, policy, fleet, network, mesh, readTable }
   const residency = createResidency({
     ...parts,
-    orderDelayMs: it.orderDelayMs,
+    orderDelayMs: opts.orderDelayMs,
     readStoreLostMs: () => state.feeds?.backends.lostMs ?? 0,
     readStoreAgeMs: () => state.feeds?.backends.ageMs ?? Infinity,
     onChange: () => queue.pump(),
   })
   const queue: BackendQueue = startQueue({ ...parts, random, residency }, ended.signal)
   const quarantine = createQuarantine(parts)
-  const statements = startStatements({ ...parts, onLimit: () => queue.pump() }, ended.signal)
-  const listCopies = (): StoreFeed[] => state.feeds ? Object.values(state.feeds) : []
-  const metrics = createMetrics({ ...parts, signal: ended.signal, readWaiting: () => queue.size, readSuspects: () => quarantine.size, listCopies })
+  const statements = startStatusReceiver({ ...parts, onLimitChange: () => queue.pump() }, ended.signal)
+  const listReplicas = (): StoreFeed[] => state.feeds ? Object.values(state.feeds) : []
+  const metrics = createMetrics({ ...parts, signal: ended.signal, countWaiting: () => queue.size, countSuspects: () => quarantine.size, listReplicas })
   const isTableCurrent = (): boolean => (state.feeds?.config.ageMs ?? Infinity) <= settings.bounds.configLagMs
   const mayBegin = (deadline: number): boolean => state.stopPlan?.mayBegin(clock.readTime(), deadline) ?? true
   const mustClose = (): boolean => state.phase === EntryPhases.LEAVING || state.phase === EntryPhases.ENDING
@@ -129,24 +129,24 @@
   residency.start(ended.signal)
   limits?.start(ended.signal)
   quarantine.start(ended.signal)
-  const noteReady = (): void => {
+  const updatePhase = (): void => {
     if (state.phase === EntryPhases.STARTING && state.table !== undefined && fleet.listAll().length > 0) setPhase(EntryPhases.READY)
   }
-  fleet.changes.subscribe(noteReady)
-  const takeTable = (table: RouteTable): void => {
+  fleet.changes.subscribe(updatePhase)
+  const applyTable = (table: RouteTable): void => {
     state.table = table
-    noteReady()
+    updatePhase()
     queue.pump()
   }
   void waitUntilChosen(clock, mesh, ended.signal).then((isChosen) => {
-    if (isChosen) state.feeds = beginServing({ ...parts, random, ended, onTable: takeTable })
+    if (isChosen) state.feeds = startServing({ ...parts, random, ended, onTable: applyTable })
   })
   log.record(DecisionKinds.STARTED, { instance: settings.instance, dataHall: settings.dataHall, address: settings.clientAddress })
-  return { ...parts, gateway, queue, residency, metrics, named: new NamedInstances(log, mesh), readPhase: () => state.phase, isReady, setPhase, leave, ended }
+  return { ...parts, gateway, queue, residency, metrics, directory: new DirectoryLog(log, mesh), readPhase: () => state.phase, isReady, setPhase, leave, ended }
 }
 
 /** Logs each time that the store came back from an older copy, until the signal ends. */
-function recordRestored (store: ObjectStore, log: DecisionLog, signal: AbortSignal): void {
+function recordStoreRestores (store: ObjectStore, log: DecisionLog, signal: AbortSignal): void {
   const subscription = store.epochs.changes.subscribe(({ epoch, former }) => {
     if (former !== undefined) log.record(DecisionKinds.STORE_RESTORED, { epoch, former })
   })
@@ -163,7 +163,7 @@
 }
 
 /** Follows the store and tells the others that this instance serves; gives the copies that it keeps from then on. */
-function beginServing (parts: ServingParts): SourceFeeds {
+function startServing (parts: ServingParts): SourceFeeds {
   const { settings, deps, clock, log, random, fleet, network, mesh, ended, onTable } = parts
   mesh.announce({ standby: false })
   return watchSources({
@@ -185,7 +185,7 @@
 async function waitUntilChosen (clock: Clock, mesh: InstanceMesh, signal: AbortSignal): Promise<boolean> {
   while (!signal.aborted) {
     if (mesh.isChosen()) return true
-    await clock.wait(ROLE_MS, signal)
+    await clock.wait(ROLE_CHECK_INTERVAL_MS, signal)
   }
   return false
 }
--- a/program/entry/src/stopEntry.ts
+++ b/program/entry/src/stopEntry.ts
@@ -3,11 +3,11 @@
 import { EntryPhases, type Entry } from './startEntry.js'
 import { StopPlan } from './StopPlan.js'
 
-const POLL_MS = 50
+const POLL_INTERVAL_MS = 50
 /** Milliseconds in which last answers leave; the process ends 300 ms after they are given (see `LAST_MS` of the plan and the adapter). */
-const FLUSH_MS = 150
+const FLUSH_PERIOD_MS = 150
 /** Requests that are logged one by one at each moment of a stop; more would take processor time from the last answers. */
-const MAX_LOGGED = 20
+const MAX_LOGGED_REQUESTS = 20
 
 /**
  * Planned stop: leaves the list of addresses at once, goes on serving those who still come, refuses what could not be
@@ -28,20 +28,20 @@
   await waitUntilDone(entry, plan.endsAt)
   recordUnfinished(entry, 'cancel')
   const cancelled = gateway.cancelAll()
-  await waitUntilDone(entry, plan.endsAt + FLUSH_MS)
+  await waitUntilDone(entry, plan.endsAt + FLUSH_PERIOD_MS)
   recordUnfinished(entry, 'exit')
-  const cut = gateway.inFlight
-  entry.log.record(DecisionKinds.STOPPED, { cut, cancelled, ms: Math.round(clock.readTime() - plan.startedAt) })
+  const unanswered = gateway.inFlight
+  entry.log.record(DecisionKinds.STOPPED, { cut: unanswered, cancelled, ms: Math.round(clock.readTime() - plan.startedAt) })
   entry.ended.abort()
   listener.close()
   await entry.network.stop()
-  return cut
+  return unanswered
 }
 
 function recordUnfinished (entry: Entry, moment: 'cancel' | 'exit'): void {
-  for (const facts of entry.gateway.listUnfinished(MAX_LOGGED)) entry.log.record(DecisionKinds.REQUEST_AT_STOP, { moment, ...facts })
+  for (const facts of entry.gateway.listUnfinished(MAX_LOGGED_REQUESTS)) entry.log.record(DecisionKinds.REQUEST_AT_STOP, { moment, ...facts })
 }
 
-async function waitUntilDone (entry: Entry, until: number): Promise<void> {
-  while (entry.gateway.inFlight > 0 && entry.clock.readTime() < until) await entry.clock.wait(POLL_MS)
+async function waitUntilDone (entry: Entry, deadline: number): Promise<void> {
+  while (entry.gateway.inFlight > 0 && entry.clock.readTime() < deadline) await entry.clock.wait(POLL_INTERVAL_MS)
 }
--- a/program/entry/src/watchSources.ts
+++ b/program/entry/src/watchSources.ts
@@ -32,10 +32,10 @@
 
 /** Follows the configuration and the backend servers in the store until the signal ends. */
 export function watchSources (opts: WatchSourcesOptions): SourceFeeds {
-  return { config: followConfig(opts), backends: followBackends(opts) }
+  return { config: watchConfig(opts), backends: watchBackends(opts) }
 }
 
-function followConfig (opts: WatchSourcesOptions): StoreFeed {
+function watchConfig (opts: WatchSourcesOptions): StoreFeed {
   let version = -Infinity
   const take = (object: StoredObject): void => {
     const config = opts.sources.readConfig(object)
@@ -46,22 +46,22 @@
     opts.onTable(new RouteTable(config))
   }
   const { configPrefix } = opts.sources
-  return follow(opts, configPrefix, { onListing: (objects) => objects.forEach(take), onChanges: (changes) => changes.forEach(take) })
+  return startFeed(opts, configPrefix, { onListing: (objects) => objects.forEach(take), onChanges: (changes) => changes.forEach(take) })
 }
 
-function followBackends (opts: WatchSourcesOptions): StoreFeed {
+function watchBackends (opts: WatchSourcesOptions): StoreFeed {
   const { fleet, log, sources } = opts
-  const noteChange = fleet.changes.subscribe(({ kind, backend }) => {
+  const changeSubscription = fleet.changes.subscribe(({ kind, backend }) => {
     const { id, entry } = backend
     const facts = { backend: id, address: entry.address, draining: entry.draining, models: entry.models?.map((model) => model.name) }
     if (kind === 'added') log.record(DecisionKinds.BACKEND_ADDED, facts)
     else if (kind === 'removed') log.record(DecisionKinds.BACKEND_REMOVED, facts)
     else log.record(DecisionKinds.BACKEND_CHANGED, facts)
   })
-  opts.signal.addEventListener('abort', () => noteChange.unsubscribe(), { once: true })
+  opts.signal.addEventListener('abort', () => changeSubscription.unsubscribe(), { once: true })
   const unreadable = new UnreadableEntries(opts.clock, log)
   const directory = new BackendDirectory({ clock: opts.clock, fleet, readSettledMs: () => feed.settledMs })
-  const tellRevived = shareRevived({ network: opts.network, directory }, opts.signal)
+  const announceRevived = shareRevived({ network: opts.network, directory }, opts.signal)
   const take = (object: StoredObject): void => {
     const entry = sources.readBackend(object)
     if (entry) {
@@ -71,12 +71,12 @@
     directory.drop(readName(sources.backendPrefix, object))
     unreadable.note({ key: object.key, revision: readRevision(object.version) })
   }
-  const feed: StoreFeed = follow(opts, sources.backendPrefix, {
+  const feed: StoreFeed = startFeed(opts, sources.backendPrefix, {
     onListing: (objects, { version, isRestored }) => {
       if (isRestored) directory.noteRestored(version)
       objects.forEach(take)
       directory.keepOnly(new Set(objects.map((object) => readName(sources.backendPrefix, object))))
-      if (isRestored) tellRevived()
+      if (isRestored) announceRevived()
     },
     onChanges: (changes) => changes.forEach((change) => {
       if (change.value === undefined) directory.remove(readName(sources.backendPrefix, change))
@@ -90,9 +90,9 @@
   return object.key.slice(prefix.length)
 }
 
-function follow (opts: WatchSourcesOptions, prefix: string, take: Pick<StoreFeedOptions, 'onListing' | 'onChanges'>): StoreFeed {
+function startFeed (opts: WatchSourcesOptions, prefix: string, listeners: Pick<StoreFeedOptions, 'onListing' | 'onChanges'>): StoreFeed {
   const { clock, random, store, network, log, instance, listCandidates } = opts
-  const feed = new StoreFeed({ clock, random, store, network, log, prefix, instance, listCandidates, ...take })
+  const feed = new StoreFeed({ clock, random, store, network, log, prefix, instance, listCandidates, ...listeners })
   feed.start(opts.signal)
   new CopyWatch({ clock, log, feed, prefix }).start(opts.signal)
   return feed
--- a/program/entry/test/EntryMetrics.test.ts
+++ b/program/entry/test/EntryMetrics.test.ts
@@ -4,7 +4,7 @@
 import { EntryMetrics } from '../src/EntryMetrics.js'
 
 describe('the figures of an instance', () => {
-  const state = { copies: [] as { prefix: string, ageMs: number }[], backlogBytes: 0, unsentFrames: 0 }
+  const state = { replicas: [] as { prefix: string, ageMs: number }[], backlogBytes: 0, unsentFrames: 0 }
   const epochs = new StoreEpochs()
   const metrics = new EntryMetrics({
     epochs,
@@ -12,9 +12,9 @@
     mesh: { listLive: () => [] },
     network: state,
     readConfigVersion: () => 7,
-    readWaiting: () => 0,
-    readSuspects: () => 0,
-    listCopies: () => state.copies,
+    countWaiting: () => 0,
+    countSuspects: () => 0,
+    listReplicas: () => state.replicas,
     readTimerDelayMs: () => 250,
   })
 
@@ -23,7 +23,7 @@
   })
 
   it('show how old each copy is', async () => {
-    state.copies = [{ prefix: 'a/', ageMs: 1_500 }, { prefix: 'b/', ageMs: Infinity }]
+    state.replicas = [{ prefix: 'a/', ageMs: 1_500 }, { prefix: 'b/', ageMs: Infinity }]
     const text = await metrics.render()
     assert.match(text, /^pulleystack_copy_age_seconds\{prefix="a\/"\} 1\.5$/m)
     assert.match(text, /^pulleystack_copy_age_seconds\{prefix="b\/"\} \+Inf$/m)
--- a/program/entry/test/TimerDelay.test.ts
+++ b/program/entry/test/TimerDelay.test.ts
@@ -5,10 +5,10 @@
 
 /** Runs every timer late. */
 class LateClock extends ManualClock {
-  lateMs = 0
+  delayMs = 0
 
   override setTimer (ms: number, task: () => void): CancelTimer {
-    return super.setTimer(ms + this.lateMs, task)
+    return super.setTimer(ms + this.delayMs, task)
   }
 }
 
@@ -33,9 +33,9 @@
 
   describe('after one timer was late', () => {
     beforeEach(async () => {
-      clock.lateMs = 300
+      clock.delayMs = 300
       await clock.advance(1_300)
-      clock.lateMs = 0
+      clock.delayMs = 0
       await clock.advance(1_000)
     })
 
--- a/program/instance/src/Metrics.ts
+++ b/program/instance/src/Metrics.ts
@@ -6,7 +6,7 @@
 /** What GET /metrics shows. Gauges are read when asked for. */
 export class Metrics {
   readonly registry = new Registry()
-  private readonly finished = new Counter({
+  private readonly requests = new Counter({
     name: 'pulleystack_requests_total',
     help: 'Requests answered',
     labelNames: ['partner', 'route', 'status', 'code'],
@@ -25,7 +25,7 @@
 
   countRequest (finished: FinishedRequest): void {
     const { partner, route, status, code, ms } = finished
-    this.finished.inc({ partner, route, status, code })
+    this.requests.inc({ partner, route, status, code })
     this.latency.observe({ partner, route }, ms / 1000)
   }
 
--- a/program/instance/src/createGateways.ts
+++ b/program/instance/src/createGateways.ts
@@ -34,8 +34,9 @@
     leastInstances: settings.directory.leastInstances,
     onFinished: (finished) => core.metrics.countRequest(finished),
   })
-  const explainHere = (partner: string, caller: string, target: ExplainTarget): Explanation => explainRequest({ ...core, ...routing }, partner, caller, target)
-  core.network.handleCalls(EXPLAIN, (_, body) => explainHere(body.partner, body.caller, body.target))
+  const explainLocally = (partner: string, caller: string, target: ExplainTarget): Explanation =>
+    explainRequest({ ...core, ...routing }, partner, caller, target)
+  core.network.handleCalls(EXPLAIN, (_, body) => explainLocally(body.partner, body.caller, body.target))
   const routed = createRouted(core, routing)
   const admin = new AdminGateway({
     ...core,
@@ -44,7 +45,7 @@
     maxBodyBytes: settings.limits.bodyBytes,
     collectTimeline: (filter) => collectTimeline({ ...core, peers: listPeers(core) }, filter),
     collectStatus: () => control.collectStatus(),
-    explain: (partner, caller, target) => explainAnywhere(core, callers, explainHere, { partner, caller, target }),
+    explain: (partner, caller, target) => explainOnServingInstance(core, callers, explainLocally, { partner, caller, target }),
     explainRoute: routed.explain,
   })
   return { callers, admin, routed }
@@ -68,18 +69,18 @@
 }
 
 /** Asks an instance that serves the service, since only it knows the servers' state. */
-async function explainAnywhere (
+async function explainOnServingInstance (
   core: Core,
   callers: CallerGateway,
-  explainHere: (partner: string, caller: string, target: ExplainTarget) => Explanation,
+  explainLocally: (partner: string, caller: string, target: ExplainTarget) => Explanation,
   request: { partner: string, caller: string, target: ExplainTarget },
 ): Promise<Explanation> {
   const { partner, caller, target } = request
-  const here = explainHere(partner, caller, target)
-  const subset = callers.listSubset(partner, here.service)
-  const first = subset[0]
-  if (!first || subset.some((member) => member.instance === core.settings.instance)) return here
-  const answer = await core.network.call(first.instance, EXPLAIN, request, EXPLAIN_TIMEOUT_MS)
+  const localExplanation = explainLocally(partner, caller, target)
+  const subset = callers.listSubset(partner, localExplanation.service)
+  const servingInstance = subset[0]
+  if (!servingInstance || subset.some((member) => member.instance === core.settings.instance)) return localExplanation
+  const answer = await core.network.call(servingInstance.instance, EXPLAIN, request, EXPLAIN_TIMEOUT_MS)
   if (answer.isOk()) return answer.value
-  throw new PulleystackError('INSTANCE_UNREACHABLE', `${first.instance} serves this and does not answer`, { cause: answer.error })
+  throw new PulleystackError('INSTANCE_UNREACHABLE', `${servingInstance.instance} serves this and does not answer`, { cause: answer.error })
 }
--- a/program/instance/src/createRouted.ts
+++ b/program/instance/src/createRouted.ts
@@ -19,15 +19,15 @@
 import type { Core } from './startInstance.js'
 
 const DEFAULT_PRIORITY = 5
-const DEFAULT_TARGET_MS = 1_000
+const DEFAULT_TARGET_LATENCY_MS = 1_000
 const DEFAULT_ATTEMPTS = 2
 const MAX_CONNECTIONS = 200
-const SLOTS = 64
+const SLOTS_PER_SERVER = 64
 const RETRY_RATIO = 0.1
-const RETRY_EXTRA = 20
+const EXTRA_RETRIES = 20
 const RETRY_WINDOW_MS = 10_000
 /** Idle connections of clients are bounded by the instance's own listener. */
-const UNUSED_LIMIT = Number.MAX_SAFE_INTEGER
+const UNLIMITED = Number.MAX_SAFE_INTEGER
 
 /** Requests that routes of the configuration take. */
 export interface Routed {
@@ -105,7 +105,7 @@
     readLifeMs: () => Infinity,
     listPeers: () => [],
   }
-  return new RetryBudgets({ clock, network, standing, ratio: RETRY_RATIO, extra: RETRY_EXTRA, windowMs: RETRY_WINDOW_MS })
+  return new RetryBudgets({ clock, network, standing, ratio: RETRY_RATIO, extra: EXTRA_RETRIES, windowMs: RETRY_WINDOW_MS })
 }
 
 /** Requests under which servers ended, as all instances know them; after all of them have ended at once nobody does. */
@@ -144,7 +144,7 @@
     version: core.replica.newestVersion,
     routes,
     services: [...names].map((name) => ({ name, maxConnections: MAX_CONNECTIONS, serving: undefined })),
-    limits: { headerBytes: UNUSED_LIMIT, bodyBytes: core.settings.limits.bodyBytes, headerTimeoutMs: UNUSED_LIMIT, idleTimeoutMs: UNUSED_LIMIT },
+    limits: { headerBytes: UNLIMITED, bodyBytes: core.settings.limits.bodyBytes, headerTimeoutMs: UNLIMITED, idleTimeoutMs: UNLIMITED },
   }
 }
 
@@ -159,7 +159,7 @@
     streams: spec.streams ?? false,
     resumable: spec.resumable ?? false,
     timeoutMs: spec.timeoutMs,
-    targetLatencyMs: spec.targetLatencyMs ?? Math.min(DEFAULT_TARGET_MS, spec.timeoutMs),
+    targetLatencyMs: spec.targetLatencyMs ?? Math.min(DEFAULT_TARGET_LATENCY_MS, spec.timeoutMs),
     longestPauseMs: spec.longestPauseMs,
     priority: spec.priority ?? DEFAULT_PRIORITY,
     maxAttempts: spec.maxAttempts ?? (spec.repeat === 'once' ? 1 : DEFAULT_ATTEMPTS),
@@ -176,7 +176,7 @@
       service,
       address: server.address,
       dataHall: server.dataHall,
-      slots: SLOTS,
+      slots: SLOTS_PER_SERVER,
       draining: server.leaving,
       models: undefined,
       inMemory: [],
--- a/program/instance/src/createRouting.ts
+++ b/program/instance/src/createRouting.ts
@@ -6,7 +6,7 @@
 import { RunnerTable } from '@pulleystack/routing.runners'
 import type { Core } from './startInstance.js'
 
-const DEFAULT_WEIGHT = 0.5
+const DEFAULT_PARTNER_WEIGHT = 0.5
 
 /** The parts that bring a request to a backend server. */
 export interface Routing {
@@ -23,10 +23,10 @@
   const { settings, deps } = core
   const table = new RunnerTable()
   const eligible = new EligibleRunners({ ...core, table })
-  const getWeight = (partner: string): number => core.index.findObject(Kinds.QUOTA, partner, 'pool')?.spec.guaranteedShare ?? DEFAULT_WEIGHT
+  const getWeight = (partner: string): number => core.index.findObject(Kinds.QUOTA, partner, 'pool')?.spec.guaranteedShare ?? DEFAULT_PARTNER_WEIGHT
   const queue = new WorkQueue<Place>({ clock: core.clock, maxPerPartner: settings.limits.queued, getWeight })
   const places = new Places({ ...core, eligible, queue, picker: new CostPicker(core.random) })
-  const shared = { ...core, places, budgets: new Budgets() }
+  const dispatcherOptions = { ...core, places, budgets: new Budgets() }
   table.changes.subscribe(() => queue.pump())
   const claims = new ClaimClient({
     ...core,
@@ -43,7 +43,7 @@
     queue,
     places,
     claims,
-    generations: new GenerationDispatcher({ ...shared, engines: deps.engines }),
-    services: new ServiceDispatcher({ ...shared, services: deps.services }),
+    generations: new GenerationDispatcher({ ...dispatcherOptions, engines: deps.engines }),
+    services: new ServiceDispatcher({ ...dispatcherOptions, services: deps.services }),
   }
 }
--- a/program/instance/src/listen.ts
+++ b/program/instance/src/listen.ts
@@ -10,7 +10,7 @@
 
 const MAX_HEADER_BYTES = 32 << 10
 const MAX_HEADERS = 100
-const KEEP_ALIVE_MS = 30_000
+const KEEP_ALIVE_TIMEOUT_MS = 30_000
 
 /** The listener for callers and operators. */
 export interface Listener {
@@ -20,7 +20,7 @@
   /** From now on every answer asks its caller to connect elsewhere. */
   setClosing: () => void
   /** Ends every connection at once. */
-  cut: () => Promise<void>
+  closeNow: () => Promise<void>
 }
 
 export async function listen (core: Core, gateways: Gateways): Promise<Listener> {
@@ -30,7 +30,7 @@
     maxHeaderSize: MAX_HEADER_BYTES,
     headersTimeout: settings.limits.headersTimeoutMs,
     requestTimeout: settings.limits.requestTimeoutMs,
-    keepAliveTimeout: KEEP_ALIVE_MS,
+    keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS,
     noDelay: true,
   }
   const handle: http.RequestListener = (request, response) => {
@@ -52,9 +52,9 @@
     setClosing: () => {
       state.closing = true
     },
-    close: () => closeGently(server),
-    cut: () => {
-      const closed = closeGently(server)
+    close: () => closeServer(server),
+    closeNow: () => {
+      const closed = closeServer(server)
       server.closeAllConnections()
       return closed
     },
@@ -65,7 +65,7 @@
   return { cert: await readFile(files.certificate, 'utf8'), key: await readFile(files.key, 'utf8') }
 }
 
-function closeGently (server: http.Server): Promise<void> {
+function closeServer (server: http.Server): Promise<void> {
   return new Promise((resolve) => {
     server.close(() => resolve())
     server.closeIdleConnections()
@@ -111,12 +111,12 @@
     socket.destroy()
     return
   }
-  const slow = error.code === 'ERR_HTTP_REQUEST_TIMEOUT'
+  const isTimeout = error.code === 'ERR_HTTP_REQUEST_TIMEOUT'
   // Part of a body that streams may have reached a backend server by now.
-  const known = slow
+  const clientError = isTimeout
     ? new PulleystackError('BODY_TOO_SLOW', 'The request did not arrive in time', { ran: Ran.UNKNOWN })
     : new PulleystackError('BAD_HEADER', `Not a request that can be read: ${error.code}`)
-  const body = JSON.stringify(known.renderBody())
-  const status = `${known.row.status} ${http.STATUS_CODES[known.row.status]}`
-  socket.end(`HTTP/1.1 ${status}\r\nconnection: close\r\ncontent-type: application/json\r\npulleystack-ran: ${known.ran}\r\ncontent-length: ${Buffer.byteLength(body)}\r\n\r\n${body}`)
+  const body = JSON.stringify(clientError.renderBody())
+  const status = `${clientError.row.status} ${http.STATUS_CODES[clientError.row.status]}`
+  socket.end(`HTTP/1.1 ${status}\r\nconnection: close\r\ncontent-type: application/json\r\npulleystack-ran: ${clientError.ran}\r\ncontent-length: ${Buffer.byteLength(body)}\r\n\r\n${body}`)
 }
--- a/program/instance/src/startInstance.ts
+++ b/program/instance/src/startInstance.ts
@@ -67,7 +67,7 @@
   ended: AbortController
 }
 
-const LIMITS_WITHOUT_ANSWER = { loadsPerSecond: 2, loadsAtOnce: 8, bytesPerSecond: 1e9 }
+const DEFAULT_WEIGHT_STORE_LIMITS = { loadsPerSecond: 2, loadsAtOnce: 8, bytesPerSecond: 1e9 }
 
 /** Starts an entry instance; resolves when it listens. It is ready for callers once it has a configuration. */
 export async function startInstance (settings: Settings, deps: InstanceDependencies): Promise<Instance> {
@@ -76,7 +76,7 @@
   const peerAddress = `${parseAddress(settings.listen.peers).host}:${peerPort}`
   const routing = createRouting(core)
   const limits = await deps.weights.readLimits()
-  const control = createControl(core, routing, limits.unwrapOr(LIMITS_WITHOUT_ANSWER))
+  const control = createControl(core, routing, limits.unwrapOr(DEFAULT_WEIGHT_STORE_LIMITS))
   const gateways = createGateways(core, routing, control)
   const listener = await listen(core, gateways)
   Object.assign(core.view.self, { address: listener.address, peerAddress })
@@ -104,7 +104,7 @@
     stop: () => stopInstance(core, parts),
     kill: async () => {
       core.ended.abort()
-      await Promise.all([listener.cut(), core.network.stop()])
+      await Promise.all([listener.closeNow(), core.network.stop()])
     },
   }
 }
@@ -149,12 +149,12 @@
     index: new ConfigIndex(replica),
     metrics,
     createId: () => randomUUID(),
-    ended: createEnd(),
+    ended: createEndedController(),
   }
 }
 
 /** Ends everything that runs in the instance; every task listens to it. */
-function createEnd (): AbortController {
+function createEndedController (): AbortController {
   const ended = new AbortController()
   setMaxListeners(0, ended.signal)
   return ended
--- a/program/instance/test/callers.test.ts
+++ b/program/instance/test/callers.test.ts
@@ -9,12 +9,12 @@
 const NOTARY = 'demo-peritos-notary'
 const EMERGENCY = 'demo-shorewatch-emergency'
 
-interface ErrorShape {
+interface ErrorBody {
   error: { code: number, name: string, ran: string, field?: string }
 }
 
-function readError (answer: DemoAnswer): ErrorShape['error'] {
-  return (JSON.parse(answer.body) as ErrorShape).error
+function readError (answer: DemoAnswer): ErrorBody['error'] {
+  return (JSON.parse(answer.body) as ErrorBody).error
 }
 
 /** Sends raw bytes and gives what came back until the connection closed. */
@@ -44,18 +44,18 @@
 
   after(() => system.close())
 
-  function complete (body: unknown, opts: { key?: string, path?: string, headers?: Record<string, string>, to?: string } = {}): Promise<DemoAnswer> {
+  function requestCompletion (body: unknown, opts: { key?: string, path?: string, headers?: Record<string, string>, to?: string } = {}): Promise<DemoAnswer> {
     return sendCall(opts.to ?? address, { method: 'POST', path: opts.path ?? '/v1/completions', key: opts.key ?? FIRM, headers: opts.headers, body })
   }
 
   describe('models', () => {
     it('streams a draft and ends it properly', async () => {
-      const answer = await complete({ model: 'appeal-large', stream: true, max_tokens: 3, messages: [{ role: 'user', content: 'for parcel-9' }] }, { path: '/v1/chat/completions' })
+      const answer = await requestCompletion({ model: 'appeal-large', stream: true, max_tokens: 3, messages: [{ role: 'user', content: 'for parcel-9' }] }, { path: '/v1/chat/completions' })
       assert.equal(readStreamText(answer.body), 'parcel-9#0 parcel-9#1 parcel-9#2 ')
     })
 
     it('serves an adapter under its own name', async () => {
-      const answer = await complete({ model: 'appeal-cartago', max_tokens: 2, prompt: 'x' })
+      const answer = await requestCompletion({ model: 'appeal-cartago', max_tokens: 2, prompt: 'x' })
       assert.equal(answer.status, 200)
     })
 
@@ -66,7 +66,7 @@
     })
 
     it('hides another partner\'s model like one that does not exist', async () => {
-      const [foreign, missing] = await Promise.all([complete({ model: 'surge-briefing', prompt: 'x' }), complete({ model: 'nothing', prompt: 'x' })])
+      const [foreign, missing] = await Promise.all([requestCompletion({ model: 'surge-briefing', prompt: 'x' }), requestCompletion({ model: 'nothing', prompt: 'x' })])
       assert.deepEqual([foreign.status, readError(foreign).code], [missing.status, readError(missing).code])
       assert.equal(readError(foreign).ran, 'no')
     })
@@ -74,7 +74,7 @@
     it('goes on at the offset when an engine breaks a stream', async () => {
       const engines = system.standIns.engines
       engines.forEach((engine) => Object.assign(engine.breakStreams, { count: 1, afterTokens: 2 }))
-      const answer = await complete({ model: 'zoning-review', max_tokens: 6, prompt: 'x y-1' })
+      const answer = await requestCompletion({ model: 'zoning-review', max_tokens: 6, prompt: 'x y-1' })
       engines.forEach((engine) => Object.assign(engine.breakStreams, { count: 0 }))
       assert.ok(answer.body.includes('y-1#0 y-1#1 y-1#2 y-1#3 y-1#4 y-1#5 '), answer.body)
     })
@@ -112,11 +112,11 @@
       const opts = { method: 'POST', path: '/services/window/stamps', key: NOTARY, headers: { 'idempotency-key': 'twice', 'work': 'twice' }, body: {} }
       const answers = await Promise.all(system.addresses.map((it) => sendCall(it, opts)))
       assert.deepEqual(new Set(answers.map((it) => it.body)).size, 1)
-      assert.equal(system.standIns.plain.get('window-1')?.runs.get('twice'), 1)
+      assert.equal(system.standIns.plainServices.get('window-1')?.runs.get('twice'), 1)
     })
 
     it('does not run it again when the answer was lost', async () => {
-      const window = system.standIns.plain.get('window-1')
+      const window = system.standIns.plainServices.get('window-1')
       assert.ok(window)
       window.loseAnswers = 1
       const opts = { method: 'POST', path: '/services/window/objections', key: NOTARY, headers: { 'idempotency-key': 'lost', 'work': 'lost' }, body: {} }
@@ -128,7 +128,7 @@
     })
 
     it('drops an answer that belongs to another attempt', async () => {
-      const gauge = system.standIns.plain.get('gauge-1')
+      const gauge = system.standIns.plainServices.get('gauge-1')
       assert.ok(gauge)
       gauge.mixUp = 1
       const answer = await sendCall(address, { method: 'GET', path: '/services/gauges/status/77', key: EMERGENCY })
@@ -137,7 +137,7 @@
     })
 
     it('tries again when a lookup was refused before it ran', async () => {
-      const gauge = system.standIns.plain.get('gauge-1')
+      const gauge = system.standIns.plainServices.get('gauge-1')
       assert.ok(gauge)
       gauge.refuse = 1
       const answer = await sendCall(address, { method: 'GET', path: '/services/gauges/status/78', key: EMERGENCY })
@@ -157,20 +157,20 @@
 
   describe('bad requests', () => {
     const cases: { name: string, code: string, send: () => Promise<DemoAnswer> }[] = [
-      { name: 'a wrong key', code: 'ACCESS_KEY_WRONG', send: () => complete({ model: 'appeal-large', prompt: 'x' }, { key: 'wrong' }) },
-      { name: 'a body that is no JSON object', code: 'BAD_BODY', send: () => complete('text') },
-      { name: 'a missing field', code: 'BAD_BODY', send: () => complete({ model: 'appeal-large' }) },
-      { name: 'a body that is too large', code: 'BODY_TOO_LARGE', send: () => complete({ model: 'appeal-large', prompt: 'x'.repeat(200_000) }) },
-      { name: 'a deadline that is no number', code: 'BAD_HEADER', send: () => complete({ model: 'appeal-large', prompt: 'x' }, { headers: { 'pulleystack-deadline-ms': 'soon' } }) },
+      { name: 'a wrong key', code: 'ACCESS_KEY_WRONG', send: () => requestCompletion({ model: 'appeal-large', prompt: 'x' }, { key: 'wrong' }) },
+      { name: 'a body that is no JSON object', code: 'BAD_BODY', send: () => requestCompletion('text') },
+      { name: 'a missing field', code: 'BAD_BODY', send: () => requestCompletion({ model: 'appeal-large' }) },
+      { name: 'a body that is too large', code: 'BODY_TOO_LARGE', send: () => requestCompletion({ model: 'appeal-large', prompt: 'x'.repeat(200_000) }) },
+      { name: 'a deadline that is no number', code: 'BAD_HEADER', send: () => requestCompletion({ model: 'appeal-large', prompt: 'x' }, { headers: { 'pulleystack-deadline-ms': 'soon' } }) },
       { name: 'a service that the caller may not use', code: 'SERVICE_UNKNOWN', send: () => sendCall(address, { method: 'GET', path: '/services/gauges/1', key: NOTARY }) },
       { name: 'a path that names nothing', code: 'NOT_FOUND', send: () => sendCall(address, { method: 'GET', path: '/v2/x', key: FIRM }) },
       { name: 'a method that the path does not take', code: 'METHOD_NOT_ALLOWED', send: () => sendCall(address, { method: 'DELETE', path: '/v1/models', key: FIRM }) },
       { name: 'a name that cannot be decoded', code: 'NOT_FOUND', send: () => sendCall(address, { method: 'GET', path: '/services/%E0%A4%A/1', key: FIRM }) },
     ]
-    for (const it_ of cases) {
-      it(`answers ${it_.name} with ${it_.code}, not run`, async () => {
-        const error = readError(await it_.send())
-        assert.deepEqual([error.name, error.ran], [it_.code, 'no'])
+    for (const testCase of cases) {
+      it(`answers ${testCase.name} with ${testCase.code}, not run`, async () => {
+        const error = readError(await testCase.send())
+        assert.deepEqual([error.name, error.ran], [testCase.code, 'no'])
       })
     }
 
@@ -182,8 +182,8 @@
         for (let i = 0; i < 1 + random.readBelow(8); i++) bytes[random.readBelow(bytes.length)] = random.readBelow(256)
         return bytes.subarray(0, 1 + random.readBelow(bytes.length))
       }
-      const noise = (): Buffer => Buffer.from(Array.from({ length: random.readBelow(300) }, () => random.readBelow(256)))
-      const inputs = Array.from({ length: 300 }, (_, i) => i % 3 === 0 ? noise() : mutate(valid))
+      const buildNoise = (): Buffer => Buffer.from(Array.from({ length: random.readBelow(300) }, () => random.readBelow(256)))
+      const inputs = Array.from({ length: 300 }, (_, i) => i % 3 === 0 ? buildNoise() : mutate(valid))
       const received = await Promise.all(inputs.map((input) => sendRaw(address, input)))
       assert.ok(received.every((text) => text === '' || text.startsWith('HTTP/1.1 4')), received.find((text) => text !== '' && !text.startsWith('HTTP/1.1 4')))
       assert.equal((await sendCall(address, { method: 'GET', path: '/healthz', key: '' })).status, 200)
