--- a/program/cli/src/AdminClient.ts
+++ b/program/cli/src/AdminClient.ts
@@ -8,15 +8,15 @@
 const REQUEST_TIMEOUT_MS = 10_000
 const DEFAULT_ADDRESS = '127.0.0.1:7080'
 
-/** Options of every command that talks to the system. */
+/** Options of every command that connects to the admin API. */
 export interface ConnectionOptions {
-  /** One address or several, tried in turn. */
+  /** Comma-separated list of addresses, tried in turn. */
   address?: string
   key?: string
   tls?: boolean
 }
 
-/** Talks to the operators' interface of whichever instance answers. */
+/** Client of the admin API; sends each request to the first address that responds. */
 export class AdminClient {
   private readonly addresses: string[]
   private readonly key: string
@@ -24,7 +24,7 @@
   constructor (context: CommandContext, private readonly opts: ConnectionOptions) {
     this.addresses = (opts.address ?? context.environment.PULLEYSTACK_ADDRESS ?? DEFAULT_ADDRESS).split(',')
     this.key = opts.key ?? context.environment.PULLEYSTACK_KEY ?? ''
-    if (this.key === '') throw new PulleystackError('USAGE', 'No operator key was given', { hint: 'Use --key or set PULLEYSTACK_KEY.' })
+    if (this.key === '') throw new PulleystackError('USAGE', 'No operator key specified', { hint: 'Use --key or set PULLEYSTACK_KEY.' })
   }
 
   get (path: string, params: Record<string, string | undefined> = {}): Promise<unknown> {
@@ -43,13 +43,13 @@
     let lastError: PulleystackError | undefined
     for (const address of this.addresses) {
       const response = await this.sendTo(address, method, `${path}?${renderParams(params)}`, body).catch((cause: Error) => {
-        lastError = new PulleystackError('INSTANCE_UNREACHABLE', `${address} does not answer: ${cause.message}`, { hint: 'Give other addresses with --address.' })
+        lastError = new PulleystackError('INSTANCE_UNREACHABLE', `${address} did not respond: ${cause.message}`, { hint: 'Use --address to try other addresses.' })
       })
       if (!response) continue
       if (response.status === 200) return response.value
-      throw parseErrorBody(response.value) ?? new PulleystackError('INSTANCE_UNREACHABLE', `${address} answered with status ${response.status}`)
+      throw parseErrorBody(response.value) ?? new PulleystackError('INSTANCE_UNREACHABLE', `${address} responded with status ${response.status}`)
     }
-    throw lastError ?? new PulleystackError('USAGE', 'No address was given')
+    throw lastError ?? new PulleystackError('USAGE', 'No address specified')
   }
 
   private sendTo (address: string, method: string, path: string, body: string | undefined): Promise<{ status: number, value: unknown }> {
--- a/program/cli/src/commands/apply.ts
+++ b/program/cli/src/commands/apply.ts
@@ -17,17 +17,17 @@
 }
 
 export const name = 'apply'
-export const description = 'Create or change objects from a file'
+export const description = 'Create or update objects from a file'
 
 export function help (command: Command): void {
   addOutputHelp(addConnectionHelp(command))
-    .option('-f, --file <file>', 'JSON with comments: one object or a list')
-    .option('--dry-run', 'Show the differences and change nothing')
+    .option('-f, --file <file>', 'JSON with comments: one object or a list of objects')
+    .option('--dry-run', 'Show the differences without applying them')
     .example('pulleystack apply -f examples/peritos.jsonc --dry-run')
 }
 
 export async function handler (context: CommandContext, _: readonly string[], opts: ApplyOptions): Promise<ExitCode> {
-  if (!opts.file) throw new PulleystackError('USAGE', 'No file was given', { hint: 'pulleystack apply -f FILE' })
+  if (!opts.file) throw new PulleystackError('USAGE', 'No file specified', { hint: 'pulleystack apply -f FILE' })
   const objects = await readObjects(opts.file)
   const response = await new AdminClient(context, opts).post('/admin/apply', { objects, dryRun: opts.dryRun ?? false }) as ApplyResponse
   const rows = response.results.map((it) => [it.key, it.action, it.version, it.differences.map((difference) => difference.field).join(' ')])
@@ -35,13 +35,13 @@
   return ExitCodes.OK
 }
 
-/** Reads one object or a list of them. */
+/** Reads one object or a list of objects. Throws USAGE if the file is unreadable or malformed. */
 export async function readObjects (file: string): Promise<unknown[]> {
   const text = await readFile(file, 'utf8').catch((cause: unknown) => {
-    throw new PulleystackError('USAGE', `File ${file} cannot be read`, { cause })
+    throw new PulleystackError('USAGE', `Cannot read file ${file}`, { cause })
   })
   const errors: ParseError[] = []
   const value: unknown = parse(text, errors, { allowTrailingComma: true })
-  if (errors[0]) throw new PulleystackError('USAGE', `File ${file} is not JSON with comments, at character ${errors[0].offset}`)
+  if (errors[0]) throw new PulleystackError('USAGE', `File ${file} is not valid JSON with comments: syntax error at character ${errors[0].offset}`)
   return Array.isArray(value) ? value : [value]
 }
--- a/program/cli/src/commands/certificates.ts
+++ b/program/cli/src/commands/certificates.ts
@@ -14,26 +14,26 @@
 const SECRET_FILE_MODE = 0o600
 
 export const name = 'create-certificates [...instances]'
-export const description = 'Make the system\'s authority, the peers\' secret, and a certificate for each instance named'
+export const description = 'Create the certificate authority, the peer secret and a certificate for each given instance'
 
 export function help (command: Command): void {
   command
-    .option('--dir <folder>', 'Where to write them')
-    .option('--days <days>', 'How long they are valid')
+    .option('--dir <folder>', 'Output folder')
+    .option('--days <days>', 'Validity in days')
     .example('pulleystack create-certificates --dir keys entry-1 entry-2')
 }
 
 export async function handler (context: CommandContext, instances: readonly string[], opts: CertificatesOptions): Promise<ExitCode> {
-  if (!opts.dir) throw new PulleystackError('USAGE', 'No folder was given', { hint: 'Use --dir FOLDER.' })
+  if (!opts.dir) throw new PulleystackError('USAGE', 'No folder specified', { hint: 'Use --dir FOLDER.' })
   const dir = opts.dir
   const validity = { days: Number(opts.days ?? DEFAULT_VALIDITY_DAYS), now: new Date() }
   await mkdir(dir, { recursive: true })
   const authority = await readPair(dir, 'authority') ?? await writePair(dir, 'authority', createAuthority({ name: 'pulleystack', ...validity }))
-  // One that was made before may be such that nothing can load it.
+  // An existing authority may be damaged.
   loadPair(authority)
   await writeFile(path.join(dir, 'peers.secret'), createAccessKey('peers'), { mode: SECRET_FILE_MODE, flag: 'wx' }).catch(() => undefined)
   for (const instance of instances) await writePair(dir, instance, createCertificate(authority, { name: instance, ...validity }))
-  context.write(`wrote ${instances.length} certificates to ${dir}`)
+  context.write(`Wrote ${instances.length} certificates to ${dir}`)
   return ExitCodes.OK
 }
 
@@ -47,7 +47,7 @@
 }
 
 async function writePair (dir: string, file: string, pair: KeyPair): Promise<KeyPair> {
-  // An operator would else hear of it at an instance's start.
+  // Fails here rather than when an instance starts.
   loadPair(pair)
   await writeFile(path.join(dir, `${file}.crt`), pair.certificate)
   await writeFile(path.join(dir, `${file}.key`), pair.key, { mode: SECRET_FILE_MODE })
--- a/program/cli/src/commands/createKey.ts
+++ b/program/cli/src/commands/createKey.ts
@@ -4,7 +4,7 @@
 import { ExitCodes, type CommandContext, type ExitCode } from '../Command.js'
 
 export const name = 'create-key'
-export const description = 'Make an access key and the hash that is stored for it'
+export const description = 'Create an access key and the hash to store for it'
 
 export function help (command: Command): void {
   command.example('pulleystack create-key')
--- a/program/cli/src/commands/demo.ts
+++ b/program/cli/src/commands/demo.ts
@@ -7,10 +7,10 @@
 }
 
 export const name = 'demo'
-export const description = 'Run the whole system here on embedded stand-ins, with traffic'
+export const description = 'Run the whole system in this process on embedded stand-ins, with sample traffic'
 
 export function help (command: Command): void {
-  command.option('--once', 'End after the traffic; exit code 1 when a promise was not kept').example('pulleystack demo --once')
+  command.option('--once', 'Exit after the traffic, with code 1 if a request was lost or duplicated').example('pulleystack demo --once')
 }
 
 export async function handler (context: CommandContext, _: readonly string[], opts: DemoOptions): Promise<ExitCode | undefined> {
--- a/program/cli/src/commands/describe.ts
+++ b/program/cli/src/commands/describe.ts
@@ -7,7 +7,7 @@
 export type DescribeOptions = GetOptions
 
 export const name = 'describe <kind> <name>'
-export const description = 'Show one object whole'
+export const description = 'Show all fields of an object'
 
 export function help (command: Command): void {
   addConnectionHelp(command).option('--partner <partner>', 'Partner of the object').example('pulleystack describe Service drafts')
--- a/program/cli/src/commands/explain.ts
+++ b/program/cli/src/commands/explain.ts
@@ -29,14 +29,14 @@
 }
 
 export const name = 'explain'
-export const description = 'Say where a request would run now, or why nowhere'
+export const description = 'Show where a request would run now, or why it cannot run'
 
 export function help (command: Command): void {
   addOutputHelp(addConnectionHelp(command))
-    .option('--caller <name>', 'Who asks')
+    .option('--caller <name>', 'Caller of the request')
     .option('--model <name>', 'Model, model@version or adapter')
     .option('--service <name>', 'Plain service')
-    .option('--partner <partner>', 'Partner of the caller, for operators of the platform')
+    .option('--partner <partner>', 'Partner of the caller (platform operators only)')
     .option('--host <host>', 'Host of a routed request')
     .option('--path <path>', 'Path of a routed request (default: /)')
     .example('pulleystack explain --caller firm-1 --model appeal-large')
@@ -45,7 +45,7 @@
 
 export async function handler (context: CommandContext, _: readonly string[], opts: ExplainOptions): Promise<ExitCode> {
   if (opts.host !== undefined) return explainRoute(context, opts)
-  if (!opts.caller || (!opts.model && !opts.service)) throw new PulleystackError('USAGE', 'Say which caller, and which model or service; or which host and path')
+  if (!opts.caller || (!opts.model && !opts.service)) throw new PulleystackError('USAGE', 'Specify a caller and a model or service, or a host and path')
   const { caller, model, service, partner } = opts
   const response = await new AdminClient(context, opts).get('/admin/explain', { caller, model, service, partner }) as ExplainResponse
   const rows = response.servers.map((it) => [it.server, it.dataHall, it.load.toFixed(0), `${it.ownInFlight}/${it.limit}`, it.why])
--- a/program/cli/src/commands/explainRequest.ts
+++ b/program/cli/src/commands/explainRequest.ts
@@ -9,21 +9,21 @@
 }
 
 export const name = 'explain-request <id> [...files]'
-export const description = 'Tell from logs what happened to one request, and why'
+export const description = 'Explain from log files what happened to a request'
 
 export function help (command: Command): void {
   command
-    .option('--logs <file>', 'Log of an instance; may be given more than once, or the files named after the id')
+    .option('--logs <file>', 'Log file of an instance; can be repeated, or listed after the id')
     .example('pulleystack explain-request 9c41d07be2a35f68 entry-1.log entry-2.log')
 }
 
 export async function handler (context: CommandContext, args: readonly string[], opts: ExplainRequestOptions): Promise<ExitCode> {
   const [id, ...positional] = args
   const files = [...positional, ...[opts.logs ?? []].flat().map(String)]
-  if (id === undefined || files.length === 0) throw new PulleystackError('USAGE', 'Name a request and the logs to look into', { hint: 'pulleystack explain-request ID FILE...' })
+  if (id === undefined || files.length === 0) throw new PulleystackError('USAGE', 'Specify a request id and at least one log file', { hint: 'pulleystack explain-request ID FILE...' })
   const lines = (await Promise.all(files.map(readLog))).flat()
   const story = buildStory(lines, id)
-  if (!story) throw new PulleystackError('OBJECT_UNKNOWN', `No line of these logs is about request ${id}`, { hint: 'Look into the logs of all instances.' })
+  if (!story) throw new PulleystackError('OBJECT_UNKNOWN', `Request ${id} does not occur in these logs`, { hint: 'Include the logs of all instances.' })
   context.write(renderStory(story))
   return ExitCodes.OK
 }
@@ -32,6 +32,6 @@
   try {
     return readLogLines(await readFile(file, 'utf8'))
   } catch (cause) {
-    throw new PulleystackError('USAGE', `Log ${file} cannot be read`, { cause })
+    throw new PulleystackError('USAGE', `Cannot read log ${file}`, { cause })
   }
 }
--- a/program/cli/src/commands/get.ts
+++ b/program/cli/src/commands/get.ts
@@ -8,7 +8,7 @@
   partner?: string
 }
 
-/** An object as the operators' interface gives it. */
+/** An object as the admin API returns it. */
 export interface ListedObject {
   kind: string
   partner: string
@@ -23,7 +23,7 @@
 export const description = 'List objects'
 
 export function help (command: Command): void {
-  addOutputHelp(addConnectionHelp(command)).option('--partner <partner>', 'Only of this partner').example('pulleystack get Model -o json')
+  addOutputHelp(addConnectionHelp(command)).option('--partner <partner>', 'Only objects of this partner').example('pulleystack get Model -o json')
 }
 
 export async function handler (context: CommandContext, args: readonly string[], opts: GetOptions): Promise<ExitCode> {
--- a/program/cli/src/commands/index.ts
+++ b/program/cli/src/commands/index.ts
@@ -15,7 +15,7 @@
 import * as status from './status.js'
 import * as timeline from './timeline.js'
 
-/** Every command, in the order in which help shows them. */
+/** All commands, in the order of the help text. */
 export const commands: readonly CommandModule[] = [
   serve,
   apply,
--- a/program/cli/src/commands/label.ts
+++ b/program/cli/src/commands/label.ts
@@ -27,5 +27,5 @@
   if (change.endsWith('-')) return [change.slice(0, -1), null]
   const separator = change.indexOf('=')
   if (separator > 0) return [change.slice(0, separator), change.slice(separator + 1)]
-  throw new PulleystackError('USAGE', `"${change}" is no label`, { hint: 'Write name=value, or name- to remove it.' })
+  throw new PulleystackError('USAGE', `"${change}" is not a valid label`, { hint: 'Use name=value, or name- to remove a label.' })
 }
--- a/program/cli/src/commands/remove.ts
+++ b/program/cli/src/commands/remove.ts
@@ -9,12 +9,12 @@
 }
 
 export const name = 'delete <kind> <name>'
-export const description = 'Delete an object that nothing refers to'
+export const description = 'Delete an object that no other object refers to'
 
 export function help (command: Command): void {
   addConnectionHelp(command)
     .option('--partner <partner>', 'Partner of the object')
-    .option('--expected-version <version>', 'Only when it still has this version')
+    .option('--expected-version <version>', 'Delete only if the object still has this version')
     .example('pulleystack delete Adapter zoning-2025 --partner peritos')
 }
 
--- a/program/cli/src/commands/serve.ts
+++ b/program/cli/src/commands/serve.ts
@@ -12,11 +12,11 @@
 export const description = 'Run an entry instance'
 
 export function help (command: Command): void {
-  command.option('--settings <file>', 'Settings, JSON with comments').example('pulleystack serve --settings examples/settings.jsonc')
+  command.option('--settings <file>', 'Settings file, JSON with comments').example('pulleystack serve --settings examples/settings.jsonc')
 }
 
 export async function handler (context: CommandContext, _: readonly string[], opts: ServeOptions): Promise<ExitCode | undefined> {
-  if (!opts.settings) throw new PulleystackError('USAGE', 'No settings were given', { hint: 'pulleystack serve --settings FILE' })
+  if (!opts.settings) throw new PulleystackError('USAGE', 'No settings file specified', { hint: 'pulleystack serve --settings FILE' })
   const settings = await readSettingsFile(opts.settings, context.environment)
   if (settings.isErr()) throw settings.error
   const instance = await startInstance(settings.value, connectPlatform(settings.value))
@@ -28,7 +28,7 @@
 function handleSignals (instance: Instance): void {
   const stop = (): void => {
     void instance.stop().then((abortedRequests) => {
-      if (abortedRequests > 0) process.stderr.write(`stop was cut short: ${abortedRequests} requests cut\n`)
+      if (abortedRequests > 0) process.stderr.write(`stopped early: ${abortedRequests} requests aborted\n`)
       process.exit(abortedRequests > 0 ? 1 : 0)
     })
   }
--- a/program/cli/src/commands/standIns.ts
+++ b/program/cli/src/commands/standIns.ts
@@ -3,7 +3,7 @@
 import type { CommandContext, ExitCode } from '../Command.js'
 
 export const name = 'stand-ins'
-export const description = 'Run the embedded platform and backend servers alone, for trials with separate processes'
+export const description = 'Run only the embedded platform and backend servers, for testing with separate instance processes'
 
 export function help (command: Command): void {
   command.example('pulleystack stand-ins')
--- a/program/cli/src/commands/status.ts
+++ b/program/cli/src/commands/status.ts
@@ -17,7 +17,7 @@
 const GIB = 1024 ** 3
 
 export const name = 'status'
-export const description = 'Show instances, accelerators and what needs attention'
+export const description = 'Show instances, accelerators and problems'
 
 export function help (command: Command): void {
   addOutputHelp(addConnectionHelp(command)).example('pulleystack status')
@@ -31,8 +31,8 @@
   const shards = response.instances.flatMap((it) => it.shards)
   const servers = shards.flatMap((shard) => Object.entries(shard.servers).map(([id, server]) => describeServer(shard.shard, id, server)))
   if (servers.length > 0) context.write(`\n${formatOutput(opts, servers, ['accelerator', 'shard', 'used', 'of', 'resident'], servers)}`)
-  for (const item of shards.flatMap((shard) => shard.unplaced)) context.write(`attention: ${item} has no room on any accelerator`)
-  for (const it of response.rejected) context.write(`attention: ${it.key} version ${it.version} is not in force: ${it.error}`)
+  for (const item of shards.flatMap((shard) => shard.unplaced)) context.write(`attention: ${item} does not fit on any accelerator`)
+  for (const it of response.rejected) context.write(`attention: ${it.key} version ${it.version} was rejected: ${it.error}`)
   return ExitCodes.OK
 }
 
--- a/program/cli/src/connectionHelp.ts
+++ b/program/cli/src/connectionHelp.ts
@@ -1,13 +1,13 @@
 import type { Command } from 'cac'
 
-/** The options that all commands for operators share. */
+/** Adds the options shared by all commands that connect to the admin API. */
 export function addConnectionHelp (command: Command): Command {
   return command
-    .option('--address <list>', 'Addresses of entry instances, separated by commas (PULLEYSTACK_ADDRESS)')
+    .option('--address <list>', 'Comma-separated addresses of entry instances (PULLEYSTACK_ADDRESS)')
     .option('--key <key>', 'Operator key (PULLEYSTACK_KEY)')
     .option('--tls', 'Connect over TLS')
 }
 
 export function addOutputHelp (command: Command): Command {
-  return command.option('-o, --output <format>', 'json or table')
+  return command.option('-o, --output <format>', 'Output format: json or table')
 }
--- a/program/cli/src/output.ts
+++ b/program/cli/src/output.ts
@@ -2,16 +2,16 @@
 
 /** Options of commands that print lists. */
 export interface OutputOptions {
-  /** json or table. */
+  /** Output format: json or table. */
   output?: string
 }
 
-/** Prints rows as a table, or the value itself as JSON. */
+/** Formats rows as a table, or `value` as JSON. Throws USAGE for an unknown format. */
 export function formatOutput (opts: OutputOptions, value: unknown, columns: readonly string[], rows: readonly (readonly unknown[])[]): string {
   const format = opts.output ?? 'table'
   if (format === 'json') return JSON.stringify(value, null, 2)
   if (format === 'table') return formatTable(columns, rows)
-  throw new PulleystackError('USAGE', `Output "${format}" is not known`, { field: '-o', hint: 'Use json or table.' })
+  throw new PulleystackError('USAGE', `Unknown output format "${format}"`, { field: '-o', hint: 'Use json or table.' })
 }
 
 function formatTable (columns: readonly string[], rows: readonly (readonly unknown[])[]): string {
--- a/program/cli/src/runCli.ts
+++ b/program/cli/src/runCli.ts
@@ -5,7 +5,7 @@
 
 const VERSION = '0.1.0'
 
-/** Runs one command line; gives the exit code, or undefined while the command goes on. */
+/** Runs one command line; resolves with the exit code, or undefined if the command keeps running. */
 export async function runCli (argv: readonly string[], context: CommandContext = createContext()): Promise<ExitCode | undefined> {
   const cli = cac('pulleystack')
   let exitCode: Promise<ExitCode | undefined> | undefined
@@ -28,7 +28,7 @@
     return reportError(thrown instanceof PulleystackError
       ? thrown
       : new PulleystackError('USAGE', convertToError(thrown).message.replace('Unexpected fault: ', ''), {
-          hint: 'pulleystack COMMAND --help shows what a command takes.',
+          hint: 'Run pulleystack COMMAND --help for usage.',
         }))
   }
 }
@@ -48,7 +48,7 @@
     showHelp()
     return ExitCodes.OK
   }
-  return reportError(new PulleystackError('USAGE', `There is no command "${name}"`, { hint: 'pulleystack --help lists them.' }))
+  return reportError(new PulleystackError('USAGE', `Unknown command "${name}"`, { hint: 'Run pulleystack --help for a list of commands.' }))
 }
 
 function reportError (error: PulleystackError): ExitCode {
--- a/program/cli/test/processes.test.ts
+++ b/program/cli/test/processes.test.ts
@@ -23,12 +23,12 @@
 async function waitUntil (check: () => Promise<boolean>): Promise<void> {
   const deadline = Date.now() + TIMEOUT_MS
   while (!await check().catch(() => false)) {
-    assert.ok(Date.now() < deadline, 'what was waited for did not come about')
+    assert.ok(Date.now() < deadline, 'timed out waiting for a condition')
     await new Promise((resolve) => setTimeout(resolve, 50))
   }
 }
 
-describe('separate processes', () => {
+describe('instances in separate processes', () => {
   let standIns: StandIns
   let dir: string
   const instances: InstanceProcess[] = []
@@ -71,7 +71,7 @@
 
   before(async () => {
     dir = await mkdtemp(path.join(os.tmpdir(), 'pulleystack-'))
-    await writeFile(path.join(dir, 'secret'), 'a secret of the peers')
+    await writeFile(path.join(dir, 'secret'), 'peer secret')
     standIns = await startStandIns()
     await Promise.all(DATA_HALLS.map((dataHall, i) => startInstanceProcess(`entry-${i + 1}`, dataHall)))
     const address = (instances[0] as InstanceProcess).address
@@ -88,32 +88,32 @@
     await rm(dir, { recursive: true, force: true })
   })
 
-  it('serve both partners from every process', async () => {
+  it('serve both partners on every instance', async () => {
     for (const { address } of instances) {
       assert.equal(readStreamText((await requestDraft(address, 'parcel-1', 3)).body), 'parcel-1#0 parcel-1#1 parcel-1#2 ')
       assert.equal((await sendCall(address, { method: 'GET', path: '/services/gauges/1', key: 'demo-shorewatch-emergency' })).status, 200)
     }
   })
 
-  it('cut nothing off in a planned stop: streams end whole, and listed addresses answer for their lifetime', async () => {
+  it('complete all streams in a planned stop and serve listed addresses until their lifetime ends', async () => {
     const leaving = await startInstanceProcess('entry-leaving', 'cartago')
     await waitUntil(async () => (await requestDraft(leaving.address, 'warm', 1)).status === 200)
     const longStreams = Array.from({ length: 4 }, (_, i) => requestDraft(leaving.address, `long-${i}`, 400))
     await new Promise((resolve) => setTimeout(resolve, 100))
     leaving.child.kill('SIGTERM')
-    // A caller that was given this address just before keeps using it for as long as it was told to.
+    // A caller may use an address until the lifetime of its directory response ends.
     const stamps: DemoAnswer[] = []
     const directoryExpiresAt = Date.now() + DIRECTORY_LIFETIME_SECONDS * 1000
     while (Date.now() < directoryExpiresAt) stamps.push(await requestStamp(leaving.address, `stop-${stamps.length}`))
     assert.ok(stamps.length > 0 && stamps.every((answer) => answer.status === 200))
     const answers = await Promise.all(longStreams)
-    for (const [i, answer] of answers.entries()) assert.equal(readStreamText(answer.body)?.split(' ').length, 401, `stream ${i} was cut`)
+    for (const [i, answer] of answers.entries()) assert.equal(readStreamText(answer.body)?.split(' ').length, 401, `stream ${i} was truncated`)
     assert.equal(await leaving.exited, 0)
     assert.ok([...standIns.plainServices.get('window-1')?.runs ?? []].every(([, runs]) => runs === 1))
     standIns.list.removeInstance('entry-leaving')
   })
 
-  it('notice a frozen process and go on without it, and take it back when it wakes', async () => {
+  it('remove a frozen instance and accept it again when it resumes', async () => {
     const [first, , frozen] = instances as [InstanceProcess, InstanceProcess, InstanceProcess]
     const listInstances = async () => {
       const answer = await sendCall(first.address, { method: 'GET', path: '/admin/status', key: 'op-platform' })
@@ -128,7 +128,7 @@
     assert.equal(standIns.plainServices.get('window-1')?.runs.get('while-frozen'), 1)
   })
 
-  it('never run a stamp twice when the process that took it is killed', async () => {
+  it('never run a stamp twice when the instance that received it is killed', async () => {
     const window = standIns.plainServices.get('window-1')
     assert.ok(window)
     const [first, killed] = instances as [InstanceProcess, InstanceProcess, InstanceProcess]
