--- a/program/demo/src/DemoCaller.ts
+++ b/program/demo/src/DemoCaller.ts
@@ -1,16 +1,16 @@
 import http from 'node:http'
 import { parseAddress } from '@pulleystack/core.addresses'
 
-/** What came back for one request. */
+/** Response to one request. */
 export interface DemoAnswer {
   status: number
   headers: http.IncomingHttpHeaders
   body: string
-  /** False when the connection broke before the answer's end. */
+  /** False if the connection broke before the end of the response. */
   isComplete: boolean
 }
 
-/** One call over HTTP, as a caller of the system makes it. */
+/** Sends one HTTP request with the caller's key; rejects if no response arrives. */
 export function sendCall (
   address: string,
   opts: { method: string, path: string, key: string, headers?: http.OutgoingHttpHeaders, body?: unknown },
@@ -35,7 +35,7 @@
   })
 }
 
-/** The text of a streamed answer, undefined when it has no proper end. */
+/** Reads the text of a streamed completion; undefined if the stream was truncated. */
 export function readStreamText (body: string): string | undefined {
   if (!body.includes('data: [DONE]')) return undefined
   const events = body.split('\n\n').filter((event) => event.startsWith('data: {'))
--- a/program/demo/src/DemoSystem.ts
+++ b/program/demo/src/DemoSystem.ts
@@ -12,10 +12,10 @@
 
 export const DEMO_DATA_HALLS = ['san-jose', 'cartago', 'heredia'] as const
 
-/** Changes to the example settings, one group of fields at a time. */
+/** Overrides of the example settings, by group of fields. */
 export type SettingsOverrides = { [K in keyof Settings]?: Partial<Settings[K]> }
 
-/** Entry instances in this process on embedded stand-ins; the demo, the tests and the benchmarks run it. */
+/** Entry instances in this process on embedded stand-ins, for the demo, tests and benchmarks. */
 export class DemoSystem {
   readonly instances: Instance[] = []
 
@@ -31,7 +31,7 @@
     return this.instances.map((instance) => instance.address)
   }
 
-  /** Starts one more instance and puts it into the platform's list. */
+  /** Starts an instance and adds it to the platform's instance list. */
   async addInstance (name: string, dataHall: string): Promise<Instance> {
     const settings = this.buildSettings(name, dataHall)
     const instance = await startInstance(settings, connectPlatform(settings))
@@ -41,28 +41,28 @@
     return instance
   }
 
-  /** Applies the example objects of each partner through different instances. */
+  /** Applies the example objects of the platform and each partner, each through another instance. */
   async applyExamples (onApplied: (partner: string, count: number) => void = () => undefined): Promise<void> {
     for (const [i, partner] of ['platform', 'peritos', 'shorewatch'].entries()) {
       const address = this.addresses[i % this.addresses.length] as string
       await this.waitUntil(async () => (await sendCall(address, { method: 'GET', path: '/readyz', key: '' })).status === 200)
       const objects = readExample(`${partner}.jsonc`)
       const answer = await sendCall(address, { method: 'POST', path: '/admin/apply', key: `demo-operator-${partner}`, body: { objects } })
-      if (answer.status !== 200) throw new PulleystackError('INTERNAL', `The example of ${partner} was refused: ${answer.body}`)
+      if (answer.status !== 200) throw new PulleystackError('INTERNAL', `Applying the example objects of ${partner} failed: ${answer.body}`)
       onApplied(partner, objects.length)
     }
   }
 
-  /** Waits until every model of the examples, with its adapters, is ready somewhere and known to be. */
+  /** Waits until all models and adapters of the examples are ready and all instances have received the engines' reports. */
   async waitForModels (): Promise<void> {
     const expected = countExampleModels()
     await this.waitUntil(async () => this.countReady() >= expected)
     await this.waitUntil(async () => this.instances.every((instance) => instance.control.readStatus().runners >= this.standIns.engines.length))
-    // Reports reach the instances a little later than the engines know.
+    // Engine reports reach the instances with a delay.
     await new Promise((resolve) => setTimeout(resolve, 600))
   }
 
-  /** Items ready on some engine. */
+  /** Counts the items that are ready on at least one engine. */
   countReady (): number {
     const ready = this.standIns.engines.flatMap((engine) => engine.memory.listItems()).filter((item) => item.state === 'ready')
     return new Set(ready.map((item) => item.item)).size
@@ -74,7 +74,7 @@
       if (await check()) return
       await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS))
     }
-    throw new PulleystackError('INTERNAL', 'What was waited for did not come about in time')
+    throw new PulleystackError('INTERNAL', 'Timed out waiting for a condition')
   }
 
   async close (): Promise<void> {
--- a/program/demo/src/demoTraffic.ts
+++ b/program/demo/src/demoTraffic.ts
@@ -5,13 +5,13 @@
 const TOKENS_PER_ANSWER = 24
 const ROUNDS = 40
 
-/** What the demo's callers saw, checked against what the stand-ins counted. */
+/** Results of the demo's requests; duplicates are counted at the stand-ins. */
 export interface DemoOutcome {
   requests: number
   complete: number
   lost: number
   duplicated: number
-  /** Request id of one streamed draft. */
+  /** Request id of the last complete streamed draft. */
   sampleRequestId: string
   byKind: Record<string, { sent: number, complete: number, worstMs: number }>
   failures: string[]
@@ -24,7 +24,7 @@
   isComplete: (answer: DemoAnswer) => boolean
 }
 
-/** Sends mixed requests of both partners over all addresses. */
+/** Sends mixed requests of both partners, each to a random address. */
 export async function runTraffic (addresses: readonly string[], standIns: StandIns): Promise<DemoOutcome> {
   const random = new RandomSource(7)
   const outcome: DemoOutcome = { requests: 0, complete: 0, lost: 0, duplicated: 0, sampleRequestId: '', byKind: {}, failures: [] }
@@ -83,7 +83,7 @@
   const work = `review-${round}`
   const body = { model: 'zoning-review', max_tokens: TOKENS_PER_ANSWER, prompt: `Zoning of ${work}` }
   return {
-    kind: 'whole review',
+    kind: 'unstreamed review',
     work,
     send: (address) => sendCall(address, { method: 'POST', path: '/v1/completions', key: 'demo-peritos-firm', body }),
     isComplete: (answer) => (JSON.parse(answer.body) as { choices?: { text: string }[] }).choices?.[0]?.text === buildExpectedText(work, TOKENS_PER_ANSWER),
@@ -99,7 +99,7 @@
   }
 }
 
-/** A call that a route takes by its host and path. */
+/** Builds a call that is matched to a route by its host and path. */
 function buildRoutedCall (kind: string, method: string, path: string, work: string): DemoCall {
   return {
     kind,
@@ -109,12 +109,12 @@
   }
 }
 
-/** A stamp is asked for twice under one key, as a caller does that saw no answer; it must run once. */
+/** Builds a call that sends a stamp twice under one idempotency key; it must run only once. */
 function buildStamp (round: number): DemoCall {
   const work = `stamp-${round}`
   const opts = { method: 'POST', path: '/services/window/stamps', key: 'demo-peritos-notary', headers: { 'idempotency-key': work, work }, body: { plot: round } }
   return {
-    kind: 'stamp, asked twice',
+    kind: 'stamp, sent twice',
     work,
     send: async (address) => {
       const [first, second] = await Promise.all([sendCall(address, opts), sendCall(address, opts)])
@@ -128,7 +128,7 @@
   const work = `warning-${round}`
   const body = { model: 'warning-superior', max_tokens: TOKENS_PER_ANSWER, prompt: `Issue ${work}` }
   return {
-    kind: 'warning, once',
+    kind: 'warning',
     work,
     send: (address) => sendCall(address, { method: 'POST', path: '/v1/completions', key: 'demo-shorewatch-emergency', headers: { 'idempotency-key': work }, body }),
     isComplete: (answer) => answer.body.includes(`${work}#0`),
@@ -139,7 +139,7 @@
   return Array.from({ length: tokens }, (_, i) => `${work.slice(0, 24)}#${i} `).join('')
 }
 
-/** Work of plain services that ran twice, and attempts that an engine began twice. */
+/** Counts repeated runs of work at plain services and repeated attempts at engines. */
 function countDuplicates (standIns: StandIns): number {
   let duplicates = 0
   for (const service of standIns.plainServices.values()) {
--- a/program/demo/src/readExample.ts
+++ b/program/demo/src/readExample.ts
@@ -5,14 +5,14 @@
 
 const PATH_TO_ROOT = '../../..'
 
-/** The text of a file in examples/: from inside the binary, or from the checkout. */
+/** Reads a file of examples/, from the assets of the single executable or from the checkout. */
 export function readExampleText (file: string): string {
   const sea = loadSea()
   if (sea?.isSea()) return sea.getAsset(file, 'utf8')
   return readFileSync(path.join(import.meta.dirname, PATH_TO_ROOT, 'examples', file), 'utf8')
 }
 
-/** The objects in a file of examples/. */
+/** Reads the objects in a file of examples/. */
 export function readExample (file: string): unknown[] {
   return parse(readExampleText(file), [], { allowTrailingComma: true }) as unknown[]
 }
--- a/program/demo/src/startStandIns.ts
+++ b/program/demo/src/startStandIns.ts
@@ -12,7 +12,7 @@
   type LoopbackServer,
 } from '@pulleystack/emulator.stand-ins'
 
-/** A platform and backend servers on loopback. */
+/** Emulated platform and backend servers on loopback. */
 export interface StandIns {
   clock: Clock
   store: MemoryObjectStore
@@ -34,7 +34,7 @@
 
 type PlatformServers = [LoopbackServer, LoopbackServer, LoopbackServer]
 
-/** Starts four engines and two plain services over three data halls, and the platform. */
+/** Starts the platform, the engines (four by default) and two plain services in three data halls. */
 export async function startStandIns (opts: { engines?: number, bytesPerSecond?: number } = {}): Promise<StandIns> {
   const clock = new SystemClock()
   const store = new MemoryObjectStore({ clock })
