--- a/program/entry/src/ClientConnections.ts
+++ b/program/entry/src/ClientConnections.ts
@@ -4,33 +4,32 @@
 
 const BAD_REQUEST_RESPONSE = 'HTTP/1.1 400 Bad Request\r\nconnection: close\r\ncontent-length: 0\r\n\r\n'
 
-/** One connection of a client. */
 interface ClientConnection {
-  /** The newest request; undefined while none is in hand. */
+  /** Completion of the newest request; undefined while no request is active. */
   lastRequest: Promise<void> | undefined
-  /** Bytes that had come when its newest answer left; undefined before the first. */
+  /** Bytes read when the last response was finished; undefined before the first. */
   bytesReadWhenIdle: number | undefined
 }
 
-/** Serves a request, whose head came at a monotone time, until its answer has left. */
+/** Serves a request until its response is sent; `arrivedAt` is the monotonic time at which its head arrived. */
 export type RequestHandler = (request: http.IncomingMessage, response: http.ServerResponse, arrivedAt: number) => Promise<void>
 
 /**
- * The connections of clients and what is in hand on each. Requests of one connection are served one after the other, so that none is passed
- * on behind an answer that closes the connection.
+ * Client connections and their active requests. Requests on one connection are served in order, so that no request is forwarded after a response
+ * that closes the connection.
  */
 export class ClientConnections {
   private readonly connections = new Map<Socket, ClientConnection>()
 
   constructor (private readonly clock: Clock, private readonly serve: RequestHandler) {}
 
-  /** Knows the connection until it closes. */
+  /** Tracks the connection until it closes. */
   add (socket: Socket): void {
     this.connections.set(socket, { lastRequest: undefined, bytesReadWhenIdle: undefined })
     socket.once('close', () => this.connections.delete(socket))
   }
 
-  /** Serves a request once those before it on its connection have their answers; drops it when the connection closes before. */
+  /** Serves a request after the earlier ones on its connection; drops it if the connection closes first. */
   async handle (request: http.IncomingMessage, response: http.ServerResponse): Promise<void> {
     const connection = this.connections.get(request.socket)
     if (!connection) return
@@ -46,8 +45,8 @@
   }
 
   /**
-   * Closes the connections that rest between two requests. Node's own method takes an answer that was written for one that has left, and would
-   * cut what a slow client still reads.
+   * Closes connections that are idle between two requests. Node's closeIdleConnections would truncate responses that slow clients are still
+   * reading.
    */
   closeIdle (): void {
     for (const [socket, { lastRequest, bytesReadWhenIdle }] of this.connections) {
@@ -55,10 +54,7 @@
     }
   }
 
-  /**
-   * Ends a connection on which bytes came that are no request. While a request is in hand an answer to them would stand in the midst of that
-   * one's, so that the client gets none.
-   */
+  /** Closes a connection that received malformed data. Responds with 400 only if no request is active, so as not to corrupt its response. */
   closeMalformed (socket: Socket): void {
     const hasActiveRequest = this.connections.get(socket)?.lastRequest !== undefined
     if (socket.writable && !hasActiveRequest) socket.end(BAD_REQUEST_RESPONSE)
--- a/program/entry/src/DirectoryLog.ts
+++ b/program/entry/src/DirectoryLog.ts
@@ -2,7 +2,7 @@
 import type { PeerIdentity } from '@pulleystack/membership.peers'
 import { DecisionKinds, type DecisionLog } from '@pulleystack/timeline.decisions'
 
-/** Logs whom answers of the directory name, whenever that changes. */
+/** Logs changes to the instances listed in directory responses. */
 export class DirectoryLog {
   private advertised: ReadonlySet<string> = new Set()
 
--- a/program/entry/src/EntryMetrics.ts
+++ b/program/entry/src/EntryMetrics.ts
@@ -7,11 +7,11 @@
 
 const LATENCY_BUCKETS = [0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3, 5, 10, 15]
 
-/** Teams with figures of their own; the rest are counted together. */
+/** Maximum number of teams with their own label; further teams share one. */
 const MAX_TEAM_LABELS = 64
 const OTHER_TEAMS = 'others'
 
-/** What the figures are read from. */
+/** Sources of the metrics. */
 export interface EntryMetricsOptions {
   fleet: Pick<BackendFleet, 'listAll'>
   mesh: Pick<InstanceMesh, 'listLive'>
@@ -20,24 +20,24 @@
   readConfigVersion: () => number
   countWaiting: () => number
   countSuspects: () => number
-  /** The copies that this instance holds; none before it serves. */
+  /** Replicas of this instance; empty until it serves. */
   listReplicas: () => readonly { prefix: string, ageMs: number }[]
   readTimerDelayMs: () => number
 }
 
-/** Figures of one entry instance; gauges are read when asked for. */
+/** Metrics of one entry instance; gauges are read on each scrape. */
 export class EntryMetrics {
   readonly registry = new Registry()
   private readonly outcomes = new Counter({
     name: 'pulleystack_routed_requests_total',
-    help: 'Routed requests answered',
+    help: 'Completed routed requests',
     labelNames: ['service', 'status', 'code'],
     registers: [this.registry],
   })
 
   private readonly latency = new Histogram({
     name: 'pulleystack_routed_request_seconds',
-    help: 'Time from arrival to the end of the answer',
+    help: 'Time from the arrival of a request to the end of its response',
     labelNames: ['service'],
     buckets: LATENCY_BUCKETS,
     registers: [this.registry],
@@ -45,7 +45,7 @@
 
   private readonly units = new Counter({
     name: 'pulleystack_team_units_total',
-    help: 'Tokens or requests that teams asked for, by what became of them',
+    help: 'Tokens or requests requested by teams, by outcome',
     labelNames: ['team', 'outcome'],
     registers: [this.registry],
   })
@@ -53,14 +53,14 @@
   private readonly teams = new Set<string>()
 
   constructor (opts: EntryMetricsOptions) {
-    this.addGauge('config_version', 'Version of the routing configuration in force', opts.readConfigVersion)
-    this.addGauge('backends', 'Backend servers known', () => opts.fleet.listAll().length)
+    this.addGauge('config_version', 'Version of the active routing configuration', opts.readConfigVersion)
+    this.addGauge('backends', 'Known backend servers', () => opts.fleet.listAll().length)
     this.addGauge('peers', 'Other instances with a live link', () => opts.mesh.listLive().length)
-    this.addGauge('waiting_requests', 'Requests that wait for a place', opts.countWaiting)
-    this.addGauge('suspect_requests', 'Requests that are remembered since a server ended under them', opts.countSuspects)
-    this.addGauge('peer_backlog_bytes', 'Bytes that wait to leave for peers', () => opts.network.backlogBytes)
-    this.addGauge('timer_delay_seconds', 'Longest delay of a timer in the last seconds', () => opts.readTimerDelayMs() / 1000)
-    this.addGauge('store_epoch', 'Epoch of the store that was seen last; 0 where it names none', () => opts.epochs.newest ?? 0)
+    this.addGauge('waiting_requests', 'Requests waiting for a slot', opts.countWaiting)
+    this.addGauge('suspect_requests', 'Requests recorded as suspect since a server crashed while running them', opts.countSuspects)
+    this.addGauge('peer_backlog_bytes', 'Bytes waiting to be sent to peers', () => opts.network.backlogBytes)
+    this.addGauge('timer_delay_seconds', 'Longest timer delay in the last seconds', () => opts.readTimerDelayMs() / 1000)
+    this.addGauge('store_epoch', 'Last seen epoch of the store; 0 if the store reports none', () => opts.epochs.newest ?? 0)
     this.addReplicaAges(opts.listReplicas)
     this.addRestores(opts.epochs)
     this.addUnsentFrames(() => opts.network.unsentFrames)
@@ -77,7 +77,7 @@
     this.units.inc({ team: this.teams.has(team) ? team : OTHER_TEAMS, outcome }, units)
   }
 
-  /** The figures as text. */
+  /** Renders all metrics in the Prometheus text format. */
   render (): Promise<string> {
     return this.registry.metrics()
   }
@@ -85,7 +85,7 @@
   private addReplicaAges (listReplicas: EntryMetricsOptions['listReplicas']): void {
     new Gauge({
       name: 'pulleystack_copy_age_seconds',
-      help: 'Time since a copy was known to be what the store holds; infinite when that was never known',
+      help: 'Time since a replica was last known to match the store; infinite if it never was',
       labelNames: ['prefix'],
       registers: [this.registry],
       collect () {
@@ -97,7 +97,7 @@
   private addRestores (epochs: EntryMetricsOptions['epochs']): void {
     const restores = new Counter({
       name: 'pulleystack_store_restores_total',
-      help: 'Times that the store was seen to have come back from an older copy',
+      help: 'Detected restores of the store from an older snapshot',
       registers: [this.registry],
     })
     epochs.changes.subscribe(({ former }) => {
@@ -108,7 +108,7 @@
   private addUnsentFrames (read: () => number): void {
     new Counter({
       name: 'pulleystack_frames_not_sent_total',
-      help: 'Messages to peers left out since too much waited to leave',
+      help: 'Messages to peers dropped because of a full send buffer',
       registers: [this.registry],
       collect () {
         this.reset()
--- a/program/entry/src/EntryParts.ts
+++ b/program/entry/src/EntryParts.ts
@@ -3,7 +3,7 @@
 import type { EntrySettings } from './EntrySettings.js'
 import type { EntryDependencies } from './EntrySources.js'
 
-/** What every part of an entry instance is built from. */
+/** Dependencies shared by all parts of an entry instance. */
 export interface EntryParts {
   settings: EntrySettings
   deps: EntryDependencies
--- a/program/entry/src/EntrySettings.ts
+++ b/program/entry/src/EntrySettings.ts
@@ -1,40 +1,40 @@
 import type { RateBounds } from '@pulleystack/routing.limits'
 
-/** Bounds that every entry instance keeps. */
+/** Bounds that every entry instance enforces. */
 export interface EntryBounds {
-  /** Further attempts for each request and beside those, in one window, over all instances. */
+  /** Retries allowed per request, and additional retries, per window over all instances. */
   retryRatio: number
   retryExtra: number
   retryWindowMs: number
-  /** How far all instances together may go over the quotas of teams; undefined where no quotas are kept. */
+  /** Permitted excess over the quotas of teams, summed over all instances; undefined if quotas are not enforced. */
   quota: RateBounds | undefined
-  /** Milliseconds from a change of the configuration until it has to be in force on every instance. */
+  /** Maximum time from a configuration change until every instance has applied it, in milliseconds. */
   configLagMs: number
-  /** Life of the placement lease. */
+  /** Duration of the placement lease, in milliseconds. */
   leaseMs: number
-  /** Window in which loads from the weight store are counted, and how far they may go over the rate. */
+  /** Window in which loads from the weight store are counted, and by how much they may exceed the rate. */
   loadWindowMs: number
   loadOver: number
-  /** Time between the request to stop and the end of the process. */
+  /** Time from the stop request to the exit of the process, in milliseconds. */
   graceMs: number
 }
 
-/** What one entry instance is told at its start. */
+/** Settings of one entry instance. */
 export interface EntrySettings {
   instance: string
   region: string
   dataHall: string
-  /** host:port where clients connect. */
+  /** Address for clients, as host:port. */
   clientAddress: string
-  /** host:port where other instances connect. */
+  /** Address for other instances, as host:port. */
   peerAddress: string
-  /** Peer addresses of some instances. */
+  /** Peer addresses of some other instances, for discovery. */
   seeds: readonly string[]
-  /** Processor cores that the instance may use. */
+  /** CPU cores available to the instance. */
   cores: number
-  /** The whole system starts for the first time, so that nobody is known yet. */
+  /** Whether the whole system starts for the first time and has no known instances. */
   isFirstStart: boolean
-  /** Milliseconds for which clients may keep the list of addresses. */
+  /** How long clients may cache the address list, in milliseconds. */
   directoryLifetimeMs: number
   bounds: EntryBounds
 }
--- a/program/entry/src/EntrySources.ts
+++ b/program/entry/src/EntrySources.ts
@@ -2,17 +2,17 @@
 import type { RoutingConfig } from '@pulleystack/config.routes'
 import type { BackendEntry } from '@pulleystack/routing.fleet'
 
-/** Where the routing configuration and the backend servers stand in the store, and how they are read. */
+/** Locations of the routing configuration and the backend servers in the store, and their parsers. */
 export interface EntrySources {
   configPrefix: string
-  /** Undefined when the object is not the routing configuration. */
+  /** Undefined if the object is not a routing configuration. */
   readConfig: (object: StoredObject) => RoutingConfig | undefined
   backendPrefix: string
-  /** Undefined when the object can't be read as a backend server. */
+  /** Undefined if the object is not a valid backend server entry. */
   readBackend: (object: StoredObject) => BackendEntry | undefined
 }
 
-/** What an entry instance takes from outside. */
+/** External dependencies of an entry instance. */
 export interface EntryDependencies {
   store: ObjectStore
   protocol: RoutedProtocol
--- a/program/entry/src/StopPlan.ts
+++ b/program/entry/src/StopPlan.ts
@@ -1,21 +1,21 @@
-/** Clients may keep an old list for three of its lifetimes. */
+/** Clients may use an address list for up to three of its lifetimes. */
 const MAX_LIST_LIFETIMES = 3
-/** Time before the end in which nothing new is begun. */
+/** Final part of the grace period, in which no new requests start. */
 const FINISH_PERIOD_MS = 3_400
-/** The process ends so long before the grace time does. */
+/** Time between the end of the plan and the end of the grace period. */
 const EXIT_MARGIN_MS = 500
-/** Work that may outlast the grace time is begun for so long after the request to stop, as clients still come with old lists. */
+/** Requests that may outlast the grace period are accepted this long after the stop request, for clients with an old address list. */
 const LONG_REQUEST_PERIOD_MS = 2_750
 
 export interface StopPlanOptions {
-  /** Monotone time of the request to stop. */
+  /** Monotonic time of the stop request. */
   startedAt: number
   graceMs: number
-  /** Milliseconds for which clients may keep the list of addresses. */
+  /** How long clients may cache the address list, in milliseconds. */
   directoryLifetimeMs: number
 }
 
-/** What a stopping instance still begins, and when it ends; all times are monotone. */
+/** Schedule of a planned stop: which requests still start, and when it ends. All times are monotonic. */
 export class StopPlan {
   constructor (private readonly opts: StopPlanOptions) {}
 
@@ -23,13 +23,13 @@
     return this.opts.startedAt
   }
 
-  /** Clients no longer come with an old list, or what they bring could not be finished. */
+  /** No new requests start from now on: old address lists have expired, or the requests could not finish in time. */
   get servesUntil (): number {
     const { startedAt, graceMs, directoryLifetimeMs } = this.opts
     return startedAt + Math.min(directoryLifetimeMs * MAX_LIST_LIFETIMES, graceMs - FINISH_PERIOD_MS)
   }
 
-  /** Requests that still wait for a place by then go to another instance, which may have more time for them. */
+  /** Requests still queued at this time are passed to another instance, which may have more time for them. */
   get waitsUntil (): number {
     return Math.min(this.servesUntil, this.opts.startedAt + LONG_REQUEST_PERIOD_MS)
   }
@@ -38,7 +38,7 @@
     return this.opts.startedAt + this.opts.graceMs - EXIT_MARGIN_MS
   }
 
-  /** Whether a request that may last until its deadline may begin; one that would be cut at the end is better refused. */
+  /** Whether a request with this deadline may start; one that would be aborted at the end of the stop is rejected instead. */
   mayBegin (now: number, deadline: number): boolean {
     if (now >= this.servesUntil) return false
     return now < this.startedAt + LONG_REQUEST_PERIOD_MS || deadline <= this.endsAt
--- a/program/entry/src/TimerDelay.ts
+++ b/program/entry/src/TimerDelay.ts
@@ -1,22 +1,21 @@
 import type { Clock } from '@pulleystack/core.clock'
 
-/** Two samples a second show an event loop that is held up for long, at next to no processor time. */
 const SAMPLE_INTERVAL_MS = 500
-/** Figures are fetched every 5 s, so that each sample is seen in one of them. */
+/** Samples of 5 s, the scrape interval of the metrics. */
 const MAX_SAMPLES = 10
 
-/** Measures how late the event loop runs its timers. */
+/** Measures the delay with which the event loop runs timers. */
 export class TimerDelay {
   private samples: number[] = []
 
   constructor (private readonly clock: Clock) {}
 
-  /** The longest delay, in milliseconds, in the last `KEPT_SAMPLES` samples. */
+  /** Longest delay in the last `MAX_SAMPLES` samples, in milliseconds. */
   get longestMs (): number {
     return Math.max(0, ...this.samples)
   }
 
-  /** Samples until the signal ends. */
+  /** Takes samples until the signal is aborted. */
   start (signal: AbortSignal): void {
     void this.run(signal)
   }
--- a/program/entry/src/UnreadableEntries.ts
+++ b/program/entry/src/UnreadableEntries.ts
@@ -1,16 +1,15 @@
 import type { Clock } from '@pulleystack/core.clock'
 import { DecisionKinds, type DecisionLog } from '@pulleystack/timeline.decisions'
 
-/** A writer that writes unreadable entries writes them several times a second; so often a line tells of them. */
 const LOG_INTERVAL_MS = 5_000
 
-/** An object of the store that says of no backend server what has to be known of it. */
+/** A stored object that is not a valid backend server entry. */
 export interface UnreadableEntry {
   key: string
   revision: number
 }
 
-/** Logs that objects were passed over, in few lines however many there are. */
+/** Logs ignored backend server entries, at most one line per `LOG_INTERVAL_MS`. */
 export class UnreadableEntries {
   private unloggedCount = 0
   private loggedAt = -Infinity
--- a/program/entry/src/createGateway.ts
+++ b/program/entry/src/createGateway.ts
@@ -14,9 +14,9 @@
 import { describeMembership, listServing } from './describeMembership.js'
 import type { EntryMetrics } from './EntryMetrics.js'
 import type { EntryParts } from './EntryParts.js'
-import { listNearFirst } from './listAddresses.js'
+import { listNearestFirst } from './listAddresses.js'
 
-/** What the gateway for routed requests needs of an entry instance. */
+/** Dependencies of the gateway for routed requests. */
 export interface GatewayParts extends EntryParts {
   random: RandomSource
   fleet: BackendFleet
@@ -35,10 +35,10 @@
   mustClose: () => boolean
 }
 
-/** What the quotas of teams need of an entry instance. */
+/** Dependencies of the team quotas. */
 type LimitsParts = Pick<GatewayParts, 'settings' | 'clock' | 'mesh' | 'network' | 'readTable'> & { policy: Policy }
 
-/** The gateway for routed requests, with a retry budget for each service. */
+/** Creates the gateway for routed requests, with a retry budget per service. */
 export function createGateway (parts: GatewayParts): RoutedGateway {
   const { deps, clock, random, log, limits, quarantine, queue, fleet, statements, residency, metrics, readTable, isTableCurrent, mayBegin, mustClose } = parts
   const { protocol } = deps
@@ -67,17 +67,20 @@
   })
 }
 
-/** Hands requests on to the instances that serve, those of the own data hall first and else always in one order, so that clients see one configuration. */
+/**
+ * Creates the relay of requests to serving instances. Those in the same data hall come first, otherwise the order is fixed, so that clients see one
+ * configuration.
+ */
 export function createRelay ({ settings, deps, clock, log, mesh }: EntryParts & { mesh: InstanceMesh }): InstanceRelay {
   const listTargets = (): RelayTarget[] => {
     const serving = mesh.listLive().filter(isServing)
     const ranked = listRanked(settings.instance, serving, (identity) => identity.instance)
-    return listNearFirst(ranked, settings.dataHall)
+    return listNearestFirst(ranked, settings.dataHall)
   }
   return new InstanceRelay({ clock, agent: new BackendAgent(clock), protocol: deps.protocol, log, listTargets })
 }
 
-/** Quotas of teams over all instances; undefined where none are kept, so that nothing is told for them either. */
+/** Creates the team quotas shared by all instances; undefined if quotas are not enforced. */
 export function createLimits ({ settings, clock, policy, mesh, network, readTable }: LimitsParts): TeamLimits | undefined {
   const bounds = settings.bounds.quota
   if (!bounds) return undefined
@@ -85,7 +88,7 @@
   return new PooledLimits({ clock, network, standing: describeMembership(mesh), readTable, bounds })
 }
 
-/** What all instances together know of requests under which servers ended. */
+/** Creates the quarantine for requests during which servers crashed, shared by all instances. */
 export function createQuarantine ({ settings, deps, clock, log, mesh, network }: Pick<GatewayParts, 'settings' | 'deps' | 'clock' | 'log' | 'mesh' | 'network'>): Quarantine {
   const standing = { instance: settings.instance, listServing: () => listServing(mesh) }
   return new Quarantine({ clock, network, standing, log, rule: new LoneRunRule(), store: deps.store })
--- a/program/entry/src/createMesh.ts
+++ b/program/entry/src/createMesh.ts
@@ -8,15 +8,15 @@
 
 const HEARTBEAT_INTERVAL_MS = 1_000
 const SUSPECT_AFTER_MS = 2_400
-/** Time in which instances that start together find each other. */
+/** Time for instances that start together to find each other. */
 const FIRST_START_SETTLE_MS = 2_500
 
-/** The links to other instances, and which of those serve. */
+/** Creates the peer network and the mesh that tracks which instances serve. */
 export function createMesh (parts: EntryParts & { random: RandomSource }): { network: WebSocketNetwork, mesh: InstanceMesh } {
   const { settings, deps, clock, random, log } = parts
   const self: PeerIdentity = {
     instance: settings.instance,
-    // Wall time makes a restarted instance outrank what is still told about its former life.
+    // Wall time gives a restarted instance a higher incarnation than peers still announce for its previous process run.
     incarnation: Math.floor(clock.readWallTime()),
     address: settings.clientAddress,
     peerAddress: settings.peerAddress,
--- a/program/entry/src/createMetrics.ts
+++ b/program/entry/src/createMetrics.ts
@@ -7,7 +7,7 @@
 import type { EntryParts } from './EntryParts.js'
 import { TimerDelay } from './TimerDelay.js'
 
-/** Where the figures of an entry instance come from. */
+/** Sources of an entry instance's metrics. */
 export interface MetricsParts extends EntryParts {
   fleet: BackendFleet
   mesh: InstanceMesh
@@ -19,7 +19,7 @@
   signal: AbortSignal
 }
 
-/** The figures, timers' delay among them, which is sampled until the signal ends. */
+/** Creates the metrics and samples the timer delay until the signal is aborted. */
 export function createMetrics (parts: MetricsParts): EntryMetrics {
   const { clock, deps, fleet, mesh, network, readTable, countWaiting, countSuspects, listReplicas, signal } = parts
   const timerDelay = new TimerDelay(clock)
--- a/program/entry/src/createResidency.ts
+++ b/program/entry/src/createResidency.ts
@@ -10,7 +10,7 @@
 
 const SHARD = 'residency'
 
-/** What the placement of models needs of an entry instance. */
+/** Dependencies of the placement of models. */
 export interface ResidencyParts extends EntryParts {
   policy: Policy
   fleet: BackendFleet
@@ -23,12 +23,12 @@
   onChange: () => void
 }
 
-/** The lease on placing models, and what its holder does with it. */
+/** Creates the placement lease and the work that its holder does. */
 export function createResidency (parts: ResidencyParts): ResidencyService {
   const { settings, deps, clock, log, fleet, network, mesh } = parts
   const processRun = `${settings.instance}@${mesh.self.incarnation}`
-  // A successor's first order must come a whole bound after the last one of its predecessor, who orders until
-  // (life - delay) after a renewal; the successor waits for life + 2 delays, so that a third of the bound each is enough.
+  // The first order of a new holder must come at least `bounds.leaseMs` after the last order of its predecessor. The predecessor orders until
+  // (lease - delay) after a renewal and the new holder waits for (lease + 2 * delay), so a third of the bound is enough for the delay.
   const delayMs = parts.orderDelayMs ?? settings.bounds.leaseMs / 3
   const leaseMs = settings.bounds.leaseMs * 2 / 3
   const lease = new ShardLease({
--- a/program/entry/src/describeMembership.ts
+++ b/program/entry/src/describeMembership.ts
@@ -1,7 +1,7 @@
 import { isServing, type InstanceMesh } from '@pulleystack/membership.mesh'
 import type { LimitsStanding } from '@pulleystack/routing.limits'
 
-/** How this instance stands among those that share rates. */
+/** Describes this instance and the others that share rates with it. */
 export function describeMembership (mesh: InstanceMesh): LimitsStanding {
   return {
     instance: mesh.self.instance,
@@ -11,7 +11,7 @@
   }
 }
 
-/** The other instances that serve and have a live link. */
+/** Lists the other serving instances with a live link. */
 export function listServing (mesh: InstanceMesh): string[] {
   return mesh.listLive().filter(isServing).map((identity) => identity.instance)
 }
--- a/program/entry/src/listenForClients.ts
+++ b/program/entry/src/listenForClients.ts
@@ -11,9 +11,9 @@
 
 /** The listener for routed requests. */
 export interface ClientListener {
-  /** Ends connections on which no request is under way and no answer still leaves. */
+  /** Closes connections without an active request or an unfinished response. */
   closeIdle: () => void
-  /** Takes no new connections. */
+  /** Stops accepting connections. */
   close: () => void
 }
 
@@ -22,7 +22,7 @@
   const options: http.ServerOptions = { maxHeaderSize: MAX_HEADER_BYTES, requestTimeout: 0, noDelay: true, keepAliveTimeout: DEFAULT_IDLE_TIMEOUT_MS }
   const connections = new ClientConnections(entry.clock, (request, response, arrivedAt) => entry.gateway.handle(request, response, arrivedAt))
   const server = http.createServer(options, (request, response) => {
-    // Parts of a request that was refused may still come; they must not end the process.
+    // Errors after a request was rejected must not crash the process.
     request.on('error', () => undefined)
     response.on('error', () => undefined)
     void connections.handle(request, response)
@@ -39,7 +39,7 @@
   return { closeIdle: () => connections.closeIdle(), close: () => server.close() }
 }
 
-/** Takes limits on clients' connections from the configuration in force. */
+/** Applies the connection limits of the current configuration periodically. */
 async function reloadLimits (entry: Entry, server: http.Server): Promise<void> {
   while (!entry.ended.signal.aborted) {
     const limits = entry.readTable()?.config.limits
--- a/program/entry/src/startEntry.ts
+++ b/program/entry/src/startEntry.ts
@@ -25,17 +25,15 @@
 import type { StopPlan } from './StopPlan.js'
 import { watchSources, type SourceFeeds } from './watchSources.js'
 
-/** An instance looks so often whether it is one of those that serve. */
 const ROLE_CHECK_INTERVAL_MS = 100
 
-/** Where an instance stands between its start and its end. */
 export const EntryPhases = {
-  /** Knows no configuration or no servers yet, or stands by while others serve; hands requests on to those. */
+  /** Without configuration or servers, or on standby; relays requests to serving instances. */
   STARTING: 'starting',
   READY: 'ready',
-  /** Serves what comes, but clients are told to go elsewhere. */
+  /** Serves requests, but tells clients to connect elsewhere. */
   LEAVING: 'leaving',
-  /** Only finishes what it has in hand. */
+  /** Finishes active requests only. */
   ENDING: 'ending',
 } as const
 export type EntryPhase = typeof EntryPhases[keyof typeof EntryPhases]
@@ -52,11 +50,10 @@
   residency: ResidencyService
   metrics: EntryMetrics
   fleet: BackendFleet
-  /** Whom the directory named last. */
   directory: DirectoryLog
   readTable: () => RouteTable | undefined
   readPhase: () => EntryPhase
-  /** Whether a request that comes now would be served, here or by an instance that it is handed on to. */
+  /** Whether a new request would be served, here or by an instance that it is relayed to. */
   isReady: () => boolean
   setPhase: (phase: EntryPhase) => void
   /** Begins a planned stop. */
@@ -64,17 +61,16 @@
   ended: AbortController
 }
 
-/** What a start takes beside settings and dependencies; tests choose more of it. */
 export interface StartOptions {
   log: DecisionLog
   policy?: Policy
   clock?: Clock | undefined
   random?: RandomSource
-  /** Longest time that an order takes to reach a server. */
+  /** Longest time that an order takes to reach a server, in milliseconds. */
   orderDelayMs?: number
 }
 
-/** Starts everything but the listeners for clients. */
+/** Starts an entry instance without the listener for clients. */
 export async function startEntry (
   settings: EntrySettings,
   deps: EntryDependencies,
@@ -82,7 +78,7 @@
 ): Promise<Entry> {
   const { log, policy = DEFAULT_POLICY, clock = new SystemClock(), random = new RandomSource() } = opts
   const ended = new AbortController()
-  // Every task of the instance waits for this signal.
+  // All tasks of the instance listen to this signal.
   setMaxListeners(0, ended.signal)
   const state: { table: RouteTable | undefined, phase: EntryPhase, stopPlan: StopPlan | undefined, feeds: SourceFeeds | undefined } = {
     table: undefined,
@@ -145,7 +141,7 @@
   return { ...parts, gateway, queue, residency, metrics, directory: new DirectoryLog(log, mesh), readPhase: () => state.phase, isReady, setPhase, leave, ended }
 }
 
-/** Logs each time that the store came back from an older copy, until the signal ends. */
+/** Logs each restore of the store from an older snapshot until the signal is aborted. */
 function recordStoreRestores (store: ObjectStore, log: DecisionLog, signal: AbortSignal): void {
   const subscription = store.epochs.changes.subscribe(({ epoch, former }) => {
     if (former !== undefined) log.record(DecisionKinds.STORE_RESTORED, { epoch, former })
@@ -162,7 +158,7 @@
   onTable: (table: RouteTable) => void
 }
 
-/** Follows the store and tells the others that this instance serves; gives the copies that it keeps from then on. */
+/** Announces that this instance serves and starts watching the store; returns the replicas of the store. */
 function startServing (parts: ServingParts): SourceFeeds {
   const { settings, deps, clock, log, random, fleet, network, mesh, ended, onTable } = parts
   mesh.announce({ standby: false })
@@ -181,7 +177,7 @@
   })
 }
 
-/** Resolves with true once this instance is one of those that serve; with false when the signal ends before. */
+/** Resolves with true once this instance is chosen to serve, or with false if the signal is aborted first. */
 async function waitUntilChosen (clock: Clock, mesh: InstanceMesh, signal: AbortSignal): Promise<boolean> {
   while (!signal.aborted) {
     if (mesh.isChosen()) return true
--- a/program/entry/src/startQueue.ts
+++ b/program/entry/src/startQueue.ts
@@ -18,7 +18,7 @@
   residency: ResidencyService
 }
 
-/** The places at backend servers, and the rights to send to those that name a limit, which all instances share until the signal ends. */
+/** Starts the queue for slots at backend servers, and the permits of servers with a limit, which all instances share until the signal is aborted. */
 export function startQueue (parts: QueueParts, signal: AbortSignal): BackendQueue {
   const { settings, clock, random, log, policy, mesh, network, fleet, residency } = parts
   const permits = new ServerPermits({ clock, random, network, fleet, standing: describeMembership(mesh), onChange: () => queue.pump() })
--- a/program/entry/src/startStatusReceiver.ts
+++ b/program/entry/src/startStatusReceiver.ts
@@ -7,11 +7,11 @@
   fleet: BackendFleet
   network: PeerNetwork
   mesh: InstanceMesh
-  /** A server named another limit than was known. */
+  /** Called when a server reports a changed limit. */
   onLimitChange: () => void
 }
 
-/** Takes what backend servers say of themselves in any answer, until the signal ends. */
+/** Receives the self-reported status of backend servers from their responses and from peers, until the signal is aborted. */
 export function startStatusReceiver (
   { deps, clock, log, fleet, network, mesh, onLimitChange }: StatusReceiverParts,
   signal: AbortSignal,
--- a/program/entry/src/stopEntry.ts
+++ b/program/entry/src/stopEntry.ts
@@ -4,15 +4,15 @@
 import { StopPlan } from './StopPlan.js'
 
 const POLL_INTERVAL_MS = 50
-/** Milliseconds in which last answers leave; the process ends 300 ms after they are given (see `LAST_MS` of the plan and the adapter). */
+/** Time to send the last responses; must be shorter than the time from `StopPlan.endsAt` to the exit of the process, which is 300 ms. */
 const FLUSH_PERIOD_MS = 150
-/** Requests that are logged one by one at each moment of a stop; more would take processor time from the last answers. */
+/** Maximum number of unfinished requests that are logged individually at each step of a stop. */
 const MAX_LOGGED_REQUESTS = 20
 
 /**
- * Planned stop: leaves the list of addresses at once, goes on serving those who still come, refuses what could not be
- * finished any more, and resolves when nothing is in hand and all answers have left, or the time is over; gives the number of requests cut without an
- * answer. What its backend server has not answered by then gets an answer that promises nothing.
+ * Stops an instance as planned: removes it from the address list, keeps serving clients with an old list, rejects requests that could not finish in
+ * time, and at the end cancels the unfinished ones, with a response that leaves open whether they ran. Resolves with the number of requests that got
+ * no response.
  */
 export async function stopEntry (entry: Entry, listener: ClientListener): Promise<number> {
   const { clock, gateway, settings } = entry
--- a/program/entry/src/watchSources.ts
+++ b/program/entry/src/watchSources.ts
@@ -14,23 +14,23 @@
   store: ObjectStore
   network: PeerNetwork
   instance: string
-  /** Live instances that could watch the store, this one among them. */
+  /** Live instances that could watch the store, including this one. */
   listCandidates: () => readonly string[]
   sources: EntrySources
   fleet: BackendFleet
   log: DecisionLog
-  /** A newer configuration is in force from now on. */
+  /** Called with each newer configuration. */
   onTable: (table: RouteTable) => void
   signal: AbortSignal
 }
 
-/** The copies that an instance holds. */
+/** Replicas of the store's objects. */
 export interface SourceFeeds {
   config: StoreFeed
   backends: StoreFeed
 }
 
-/** Follows the configuration and the backend servers in the store until the signal ends. */
+/** Watches the configuration and the backend servers in the store until the signal is aborted. */
 export function watchSources (opts: WatchSourcesOptions): SourceFeeds {
   return { config: watchConfig(opts), backends: watchBackends(opts) }
 }
@@ -39,7 +39,7 @@
   let version = -Infinity
   const take = (object: StoredObject): void => {
     const config = opts.sources.readConfig(object)
-    // Versions rise; an older one is a stale answer.
+    // Versions only increase, so an older one is a stale response.
     if (!config || config.version <= version) return
     version = config.version
     opts.log.record(DecisionKinds.CONFIG_APPLIED, { version, revision: readRevision(object.version), routes: config.routes.length })
--- a/program/entry/test/TimerDelay.test.ts
+++ b/program/entry/test/TimerDelay.test.ts
@@ -3,7 +3,7 @@
 import { ManualClock, type CancelTimer } from '@pulleystack/core.clock'
 import { TimerDelay } from '../src/TimerDelay.js'
 
-/** Runs every timer late. */
+/** Runs every timer `delayMs` late. */
 class LateClock extends ManualClock {
   delayMs = 0
 
@@ -12,7 +12,7 @@
   }
 }
 
-describe('the delay of timers', () => {
+describe('timer delay', () => {
   let clock: LateClock
   let delay: TimerDelay
   let ended: AbortController
@@ -26,12 +26,12 @@
 
   afterEach(() => ended.abort())
 
-  it('is nothing while timers are on time', async () => {
+  it('is zero while timers are on time', async () => {
     await clock.advance(3_000)
     assert.equal(delay.longestMs, 0)
   })
 
-  describe('after one timer was late', () => {
+  describe('after a late timer', () => {
     beforeEach(async () => {
       clock.delayMs = 300
       await clock.advance(1_300)
@@ -39,11 +39,11 @@
       await clock.advance(1_000)
     })
 
-    it('is the longest of the last seconds', () => {
+    it('is the longest delay of the last samples', () => {
       assert.equal(delay.longestMs, 300)
     })
 
-    it('is forgotten later', async () => {
+    it('expires with its sample', async () => {
       await clock.advance(6_000)
       assert.equal(delay.longestMs, 0)
     })
