--- a/program/instance/src/connectPlatform.ts
+++ b/program/instance/src/connectPlatform.ts
@@ -2,7 +2,7 @@
 import { HttpEngineClient, HttpInstanceList, HttpObjectStore, HttpServiceClient, HttpWeightStore } from '@pulleystack/backend.http'
 import type { InstanceDependencies } from './startInstance.js'
 
-/** The HTTP implementations of everything outside. */
+/** Creates HTTP clients of the platform and the backend servers. */
 export function connectPlatform (settings: Settings): Pick<InstanceDependencies, 'store' | 'list' | 'weights' | 'engines' | 'services'> {
   return {
     store: new HttpObjectStore({ address: settings.platform.objectApi }),
--- a/program/instance/src/createControl.ts
+++ b/program/instance/src/createControl.ts
@@ -10,7 +10,7 @@
 const STATUS = defineChannel<null, InstanceStatus>('instance.status')
 const STATUS_TIMEOUT_MS = 2_000
 
-/** What `pulleystack status` shows of one instance. */
+/** Status of one instance, as shown by `pulleystack status`. */
 export interface InstanceStatus {
   instance: string
   dataHall: string
@@ -26,12 +26,12 @@
 
 type ListSubset = (partner: string, service: string) => readonly { instance: string }[]
 
-/** The control work of one instance. */
+/** Collection of reports, placement and status of one instance. */
 export interface Control {
   meter: DemandMeter
-  /** Begins; `listSubset` names the instances that serve a service. */
+  /** Starts collecting reports and placing items; `listSubset` lists the instances that serve a service. */
   start: (signal: AbortSignal, listSubset: ListSubset) => void
-  /** Hands over what this instance owns. */
+  /** Stops placement and hands it over to other instances. */
   handOver: () => Promise<void>
   readStatus: () => InstanceStatus
   collectStatus: () => Promise<InstanceStatus[]>
@@ -85,7 +85,7 @@
   }
 }
 
-/** Who needs an engine's reports: those that serve what is resident there, and the holder of its placement shard. */
+/** Lists the instances that need an engine's reports: those that serve its resident items, and the holder of its placement shard. */
 function listInterested (
   core: Core,
   listSubset: ListSubset,
@@ -114,10 +114,10 @@
 }
 
 function addGauges (core: Core, routing: Routing): void {
-  core.metrics.addGauge('config_version', 'Newest version of the object API that is held', () => core.replica.newestVersion)
-  core.metrics.addGauge('queued_requests', 'Requests that wait for a place', () => routing.queue.size)
-  core.metrics.addGauge('claims_held', 'Keys of requests that may run once, in memory', () => routing.claims.size)
+  core.metrics.addGauge('config_version', 'Newest version of the object API in the replica', () => core.replica.newestVersion)
+  core.metrics.addGauge('queued_requests', 'Requests waiting for a slot', () => routing.queue.size)
+  core.metrics.addGauge('claims_held', 'Idempotency keys held in memory', () => routing.claims.size)
   core.metrics.addGauge('claim_commits_total', 'Group commits of claims', () => routing.claims.commits)
-  core.metrics.addGauge('live_instances', 'Entry instances that may own work', () => core.view.listEligible().length)
+  core.metrics.addGauge('live_instances', 'Entry instances eligible to own work', () => core.view.listEligible().length)
   core.metrics.addGauge('peer_sent_bytes_total', 'Bytes sent to peers', () => core.network.sentBytes)
 }
--- a/program/instance/src/createGateways.ts
+++ b/program/instance/src/createGateways.ts
@@ -15,7 +15,7 @@
 const EXPLAIN = defineChannel<{ partner: string, caller: string, target: ExplainTarget }, Explanation>('gateway.explain')
 const EXPLAIN_TIMEOUT_MS = 2_000
 
-/** The two interfaces that people and programs use. */
+/** Gateways for callers, operators and routed requests. */
 export interface Gateways {
   callers: CallerGateway
   admin: AdminGateway
@@ -68,7 +68,7 @@
   return core.view.listMembers().filter((member) => member.instance !== core.settings.instance).map((member) => member.instance)
 }
 
-/** Asks an instance that serves the service, since only it knows the servers' state. */
+/** Calls an instance that serves the service, since only those have the servers' state. */
 async function explainOnServingInstance (
   core: Core,
   callers: CallerGateway,
@@ -82,5 +82,5 @@
   if (!servingInstance || subset.some((member) => member.instance === core.settings.instance)) return localExplanation
   const answer = await core.network.call(servingInstance.instance, EXPLAIN, request, EXPLAIN_TIMEOUT_MS)
   if (answer.isOk()) return answer.value
-  throw new PulleystackError('INSTANCE_UNREACHABLE', `${servingInstance.instance} serves this and does not answer`, { cause: answer.error })
+  throw new PulleystackError('INSTANCE_UNREACHABLE', `Instance ${servingInstance.instance}, which serves this service, did not respond`, { cause: answer.error })
 }
--- a/program/instance/src/createRouted.ts
+++ b/program/instance/src/createRouted.ts
@@ -26,19 +26,19 @@
 const RETRY_RATIO = 0.1
 const EXTRA_RETRIES = 20
 const RETRY_WINDOW_MS = 10_000
-/** Idle connections of clients are bounded by the instance's own listener. */
+/** The instance's listener enforces header and idle limits itself. */
 const UNLIMITED = Number.MAX_SAFE_INTEGER
 
-/** Requests that routes of the configuration take. */
+/** Serves requests that match a route of the configuration. */
 export interface Routed {
   gateway: RoutedGateway
-  /** Says where requests for a host and path could run now; of one partner's routes, or of all. */
+  /** Explains where requests for a host and path could run now, for one partner's routes or for all. */
   explain: (partner: string | undefined, host: string, path: string) => RouteExplanation
-  /** Serves the request if a route takes its host and path; false when none does. */
+  /** Serves the request if a route matches its host and path; resolves with false if none does. */
   tryHandle: (request: http.IncomingMessage, response: http.ServerResponse, url: URL) => Promise<boolean>
 }
 
-/** The gateway for routed requests to plain services, on the objects and servers that the instance knows. */
+/** Creates the gateway for routed requests to plain services, from the objects and servers known to the instance. */
 export function createRouted (core: Core, routing: Routing): Routed {
   const { clock, random, index, replica, settings } = core
   const fleet = new BackendFleet()
@@ -97,7 +97,7 @@
   return { gateway, explain, tryHandle }
 }
 
-/** Budgets for further attempts; here the bound is one of each life of an instance. */
+/** Creates retry budgets, bounded separately for each process run of an instance. */
 function createBudgets ({ clock, network, view }: Core): RetryBudgets {
   const standing = {
     countInstances: () => view.listEligible().length,
@@ -108,7 +108,7 @@
   return new RetryBudgets({ clock, network, standing, ratio: RETRY_RATIO, extra: EXTRA_RETRIES, windowMs: RETRY_WINDOW_MS })
 }
 
-/** Requests under which servers ended, as all instances know them; after all of them have ended at once nobody does. */
+/** Creates the quarantine for requests during which servers crashed. All instances share it in memory; it is lost if all stop at once. */
 function createQuarantine ({ clock, network, view, ended }: Core): Quarantine {
   const { instance } = view.self
   const listServing = (): string[] => view.listEligible().map((identity) => identity.instance).filter((other) => other !== instance)
@@ -117,14 +117,14 @@
   return quarantine
 }
 
-/** Plain services have no models to place. */
+/** Residency of plain services, which have no models to place. */
 class NoResidency extends ResidencyClient {
   override async requestWeights (): Promise<NeedAnswer> {
     return { coming: false, reason: 'routes lead to plain services' }
   }
 
   override noteDemand (): void {
-    // Nothing is placed for plain services.
+    // Nothing to place.
   }
 
   override noteInHand (): () => void {
@@ -132,7 +132,7 @@
   }
 
   override noteEnded (): void {
-    // Nothing is placed for plain services.
+    // Nothing to place.
   }
 }
 
@@ -166,7 +166,7 @@
   }
 }
 
-/** The servers that selectors allow for each routed service. */
+/** Lists the servers that selectors allow for each routed service. */
 function listEntries (core: Core, routing: Routing): BackendEntry[] {
   const services = new Set(core.index.listObjects(Kinds.ROUTE).flatMap(({ partner, spec }) => spec.targets.map((target) => `${partner}/${target.service}`)))
   return [...services].flatMap((service) => {
@@ -185,14 +185,14 @@
   })
 }
 
-/** A caller's key opens a route when its selectors let the caller into each of the route's services. */
+/** Throws unless the request's key belongs to a caller that may use all services of the route. */
 function authorize (index: Core['index'], request: http.IncomingMessage, route: Route): void {
   const key = parseBearer(request.headers)
   const caller = key === undefined ? undefined : index.findCaller(hashAccessKey(key))
-  if (!caller) throw new PulleystackError('ACCESS_KEY_WRONG', 'The access key is missing or not known', { hint: 'Send it as "Authorization: Bearer KEY".' })
+  if (!caller) throw new PulleystackError('ACCESS_KEY_WRONG', 'The access key is missing or unknown', { hint: 'Send it as "Authorization: Bearer KEY".' })
   for (const target of route.targets) {
     const [partner, name] = target.service.split('/') as [string, string]
-    if (partner !== caller.partner) throw new PulleystackError('SERVICE_UNKNOWN', 'No such route is open to this caller')
+    if (partner !== caller.partner) throw new PulleystackError('SERVICE_UNKNOWN', 'No such route is available to this caller')
     findAllowedService(index, caller, name)
   }
 }
--- a/program/instance/src/createRouting.ts
+++ b/program/instance/src/createRouting.ts
@@ -8,7 +8,7 @@
 
 const DEFAULT_PARTNER_WEIGHT = 0.5
 
-/** The parts that bring a request to a backend server. */
+/** Components that select a backend server for a request and dispatch it. */
 export interface Routing {
   table: RunnerTable
   eligible: EligibleRunners
--- a/program/instance/src/listen.ts
+++ b/program/instance/src/listen.ts
@@ -12,14 +12,14 @@
 const MAX_HEADERS = 100
 const KEEP_ALIVE_TIMEOUT_MS = 30_000
 
-/** The listener for callers and operators. */
+/** HTTP listener for callers and operators. */
 export interface Listener {
   address: string
-  /** Takes no new connection and tells those that are idle to go. */
+  /** Stops accepting connections and closes idle ones; resolves when all are closed. */
   close: () => Promise<void>
-  /** From now on every answer asks its caller to connect elsewhere. */
+  /** Sends `connection: close` with every response from now on. */
   setClosing: () => void
-  /** Ends every connection at once. */
+  /** Closes all connections immediately. */
   closeNow: () => Promise<void>
 }
 
@@ -73,11 +73,11 @@
 }
 
 async function dispatch (core: Core, gateways: Gateways, request: http.IncomingMessage, response: http.ServerResponse): Promise<void> {
-  // Parts of a request that was refused may still come; they must not end the process.
+  // Errors after a request was rejected must not crash the process.
   request.on('error', () => undefined)
   response.on('error', () => undefined)
   const url = parseUrl(request)
-  if (!url) sendError(response, new PulleystackError('BAD_HEADER', 'The path of the request cannot be read', { field: 'path' }))
+  if (!url) sendError(response, new PulleystackError('BAD_HEADER', 'The request path is malformed', { field: 'path' }))
   else if (url.pathname === '/healthz') sendJson(response, 200, { live: true })
   else if (url.pathname === '/readyz') sendReadiness(core, response)
   else if (url.pathname === '/metrics') await sendMetrics(core, response)
@@ -105,17 +105,17 @@
   response.end(text)
 }
 
-/** Answers what is not HTTP, or comes too slowly, and closes only that connection. */
+/** Responds to a malformed or too slow request and closes its connection. */
 function answerClientError (error: NodeJS.ErrnoException, socket: Socket): void {
   if (error.code === 'ECONNRESET' || !socket.writable) {
     socket.destroy()
     return
   }
   const isTimeout = error.code === 'ERR_HTTP_REQUEST_TIMEOUT'
-  // Part of a body that streams may have reached a backend server by now.
+  // Part of a streamed body may already have reached a backend server.
   const clientError = isTimeout
     ? new PulleystackError('BODY_TOO_SLOW', 'The request did not arrive in time', { ran: Ran.UNKNOWN })
-    : new PulleystackError('BAD_HEADER', `Not a request that can be read: ${error.code}`)
+    : new PulleystackError('BAD_HEADER', `Malformed request: ${error.code}`)
   const body = JSON.stringify(clientError.renderBody())
   const status = `${clientError.row.status} ${http.STATUS_CODES[clientError.row.status]}`
   socket.end(`HTTP/1.1 ${status}\r\nconnection: close\r\ncontent-type: application/json\r\npulleystack-ran: ${clientError.ran}\r\ncontent-length: ${Buffer.byteLength(body)}\r\n\r\n${body}`)
--- a/program/instance/src/startInstance.ts
+++ b/program/instance/src/startInstance.ts
@@ -19,7 +19,7 @@
 import { Metrics } from './Metrics.js'
 import { stopInstance } from './stopInstance.js'
 
-/** Everything that an instance takes from outside. */
+/** External dependencies of an instance. */
 export interface InstanceDependencies {
   store: ObjectStore
   list: InstanceList
@@ -42,15 +42,15 @@
   ring: EventRing
   control: Control
   network: WebSocketNetwork
-  /** True when it holds a whole configuration. */
+  /** True once the configuration is complete. */
   isReady: () => boolean
-  /** Planned stop: nothing that was accepted is cut off. A second call cuts short; gives the number of requests cut. */
+  /** Stops as planned and finishes accepted requests. A second call stops immediately. Resolves with the number of aborted requests. */
   stop: () => Promise<number>
-  /** Ends at once, as a death would look from outside. */
+  /** Stops immediately, like a crash. */
   kill: () => Promise<void>
 }
 
-/** What the parts of one instance share. */
+/** Components shared by all parts of an instance. */
 export interface Core {
   settings: Settings
   deps: InstanceDependencies
@@ -69,7 +69,7 @@
 
 const DEFAULT_WEIGHT_STORE_LIMITS = { loadsPerSecond: 2, loadsAtOnce: 8, bytesPerSecond: 1e9 }
 
-/** Starts an entry instance; resolves when it listens. It is ready for callers once it has a configuration. */
+/** Starts an entry instance; resolves when it listens. It serves callers once it has a configuration. */
 export async function startInstance (settings: Settings, deps: InstanceDependencies): Promise<Instance> {
   const core = await createCore(settings, deps)
   const peerPort = await core.network.start()
@@ -84,7 +84,7 @@
   await startMembership({ ...core, list: deps.list, listPollMs: settings.timings.listPollMs }, core.ended.signal)
   startConfigSync({ ...core, store: deps.store, digestMs: settings.timings.digestMs }, core.ended.signal)
   control.start(core.ended.signal, (partner, service) => gateways.callers.listSubset(partner, service))
-  core.logger.info({ address: listener.address, peerAddress }, 'instance listens')
+  core.logger.info({ address: listener.address, peerAddress }, 'instance is listening')
   return createHandle(core, { control, listener, peerAddress, inFlight: () => gateways.callers.inFlight + gateways.routed.gateway.inFlight })
 }
 
@@ -153,7 +153,7 @@
   }
 }
 
-/** Ends everything that runs in the instance; every task listens to it. */
+/** Creates the controller whose signal stops all tasks of the instance. */
 function createEndedController (): AbortController {
   const ended = new AbortController()
   setMaxListeners(0, ended.signal)
@@ -162,7 +162,7 @@
 
 function createIdentity (settings: Settings): PeerIdentity {
   const { instance, region, dataHall, listen: addresses } = settings
-  // Wall time makes a restarted instance outrank what is still told about its former life.
+  // Wall time gives a restarted instance a higher incarnation than peers still announce for its previous process run.
   return { instance, incarnation: Math.floor(Date.now() / 1000), address: addresses.callers, peerAddress: addresses.peers, region, dataHall, leaving: false }
 }
 
--- a/program/instance/src/stopInstance.ts
+++ b/program/instance/src/stopInstance.ts
@@ -4,7 +4,7 @@
 import type { Core } from './startInstance.js'
 
 const POLL_INTERVAL_MS = 50
-// The platform's list and peers' answers may still name this instance for so long.
+/** Time for which the platform's instance list and peers' directory responses may still contain a stopping instance. */
 const DIRECTORY_LAG_MS = 3_000
 
 export interface StopParts {
@@ -14,9 +14,8 @@
 }
 
 /**
- * Stops without cutting anything off: out of the directory first, then serve as long as an answer of the directory
- * may still be kept, hand over what is owned, finish what is in flight, close. Gives the number of requests cut,
- * which is 0 unless a second call cut the stop short.
+ * Stops without aborting requests: leaves the directory, hands over owned work, serves until cached directory responses have expired, finishes active
+ * requests and closes. Resolves with the number of aborted requests, which is 0 unless a second call stops the instance immediately.
  */
 export async function stopInstance (core: Core, parts: StopParts): Promise<number> {
   if (core.view.self.state === 'leaving') return stopNow(core, parts)
@@ -27,18 +26,18 @@
   await core.clock.wait(core.settings.directory.lifetimeSeconds * 1000 + DIRECTORY_LAG_MS, core.ended.signal)
   parts.listener.setClosing()
   while (parts.inFlight() > 0 && !core.ended.signal.aborted) await core.clock.wait(POLL_INTERVAL_MS, core.ended.signal)
-  const cut = parts.inFlight()
-  core.ring.record(EventKinds.STOP_FINISHED, { note: `${cut} requests cut` })
+  const aborted = parts.inFlight()
+  core.ring.record(EventKinds.STOP_FINISHED, { note: `${aborted} requests aborted` })
   core.ended.abort()
-  await (cut > 0 ? parts.listener.closeNow() : parts.listener.close())
+  await (aborted > 0 ? parts.listener.closeNow() : parts.listener.close())
   await core.network.stop()
-  return cut
+  return aborted
 }
 
 async function stopNow (core: Core, parts: StopParts): Promise<number> {
-  const cut = parts.inFlight()
-  core.logger.warn({ cut }, 'stop cut short')
+  const aborted = parts.inFlight()
+  core.logger.warn({ cut: aborted }, 'second stop request: aborting active requests')
   core.ended.abort()
   await parts.listener.closeNow()
-  return cut
+  return aborted
 }
--- a/program/instance/test/callers.test.ts
+++ b/program/instance/test/callers.test.ts
@@ -17,7 +17,7 @@
   return (JSON.parse(answer.body) as ErrorBody).error
 }
 
-/** Sends raw bytes and gives what came back until the connection closed. */
+/** Sends raw bytes; resolves with everything received until the connection closes. */
 function sendRaw (address: string, bytes: Buffer | string): Promise<string> {
   const [host, port] = address.split(':') as [string, string]
   return new Promise((resolve) => {
@@ -31,7 +31,7 @@
   })
 }
 
-describe('an entry instance, as callers see it', () => {
+describe('caller interface of an entry instance', () => {
   let system: DemoSystem
   let address: string
 
@@ -49,7 +49,7 @@
   }
 
   describe('models', () => {
-    it('streams a draft and ends it properly', async () => {
+    it('streams a draft with a proper end', async () => {
       const answer = await requestCompletion({ model: 'appeal-large', stream: true, max_tokens: 3, messages: [{ role: 'user', content: 'for parcel-9' }] }, { path: '/v1/chat/completions' })
       assert.equal(readStreamText(answer.body), 'parcel-9#0 parcel-9#1 parcel-9#2 ')
     })
@@ -59,19 +59,19 @@
       assert.equal(answer.status, 200)
     })
 
-    it('lists only what the caller may use', async () => {
+    it('lists only models that the caller may use', async () => {
       const answer = await sendCall(address, { method: 'GET', path: '/v1/models', key: EMERGENCY })
       const names = (JSON.parse(answer.body) as { data: { id: string }[] }).data.map((it) => it.id)
       assert.deepEqual(names, ['warning-superior', 'warning-text'])
     })
 
-    it('hides another partner\'s model like one that does not exist', async () => {
+    it('treats another partner\'s model like one that does not exist', async () => {
       const [foreign, missing] = await Promise.all([requestCompletion({ model: 'surge-briefing', prompt: 'x' }), requestCompletion({ model: 'nothing', prompt: 'x' })])
       assert.deepEqual([foreign.status, readError(foreign).code], [missing.status, readError(missing).code])
       assert.equal(readError(foreign).ran, 'no')
     })
 
-    it('goes on at the offset when an engine breaks a stream', async () => {
+    it('resumes at the offset when an engine breaks a stream', async () => {
       const engines = system.standIns.engines
       engines.forEach((engine) => Object.assign(engine.breakStreams, { count: 1, afterTokens: 2 }))
       const answer = await requestCompletion({ model: 'zoning-review', max_tokens: 6, prompt: 'x y-1' })
@@ -79,7 +79,7 @@
       assert.ok(answer.body.includes('y-1#0 y-1#1 y-1#2 y-1#3 y-1#4 y-1#5 '), answer.body)
     })
 
-    it('cancels the engine\'s work when the caller goes away', async () => {
+    it('cancels the engine\'s work when the caller disconnects', async () => {
       const count = (engine: FakeEngine): number => engine.cancelled.length
       const before = system.standIns.engines.reduce((sum, engine) => sum + count(engine), 0)
       const [host, port] = address.split(':') as [string, string]
@@ -94,7 +94,7 @@
   })
 
   describe('plain services', () => {
-    it('passes any method and a large body through', async () => {
+    it('forwards any method and a large body', async () => {
       const body = { text: 'x'.repeat(400_000) }
       const answer = await sendCall(address, { method: 'PUT', path: '/services/window/deeds?a=1', key: NOTARY, headers: { 'idempotency-key': 'k-put' }, body: { n: 1 } })
       assert.equal(answer.status, 200)
@@ -103,19 +103,19 @@
       assert.equal((JSON.parse(large.body) as { length: number }).length, JSON.stringify(body).length)
     })
 
-    it('asks for a key where work may not be repeated', async () => {
+    it('requires an idempotency key where work may not be repeated', async () => {
       const answer = await sendCall(address, { method: 'POST', path: '/services/window/stamps', key: NOTARY, body: {} })
       assert.equal(readError(answer).name, 'KEY_MISSING')
     })
 
-    it('runs work once for two requests under one key at two instances, and answers both alike', async () => {
+    it('runs work once for requests under one key at several instances, with the same response for each', async () => {
       const opts = { method: 'POST', path: '/services/window/stamps', key: NOTARY, headers: { 'idempotency-key': 'twice', 'work': 'twice' }, body: {} }
       const answers = await Promise.all(system.addresses.map((it) => sendCall(it, opts)))
       assert.deepEqual(new Set(answers.map((it) => it.body)).size, 1)
       assert.equal(system.standIns.plainServices.get('window-1')?.runs.get('twice'), 1)
     })
 
-    it('does not run it again when the answer was lost', async () => {
+    it('does not run work again when the response was lost', async () => {
       const window = system.standIns.plainServices.get('window-1')
       assert.ok(window)
       window.loseAnswers = 1
@@ -127,7 +127,7 @@
       assert.equal(window.runs.get('lost'), 1)
     })
 
-    it('drops an answer that belongs to another attempt', async () => {
+    it('drops a response that belongs to another attempt', async () => {
       const gauge = system.standIns.plainServices.get('gauge-1')
       assert.ok(gauge)
       gauge.mixUp = 1
@@ -136,7 +136,7 @@
       assert.ok(answer.body.includes('/status/77'))
     })
 
-    it('tries again when a lookup was refused before it ran', async () => {
+    it('retries a lookup that was rejected before it ran', async () => {
       const gauge = system.standIns.plainServices.get('gauge-1')
       assert.ok(gauge)
       gauge.refuse = 1
@@ -146,7 +146,7 @@
   })
 
   describe('the directory', () => {
-    it('names instances that serve the service, nearest first, with a lifetime', async () => {
+    it('lists instances that serve the service, nearest first, with a lifetime', async () => {
       const answer = await sendCall(address, { method: 'GET', path: '/v1/addresses?service=gauges&dataHall=cartago', key: EMERGENCY })
       const directory = JSON.parse(answer.body) as { addresses: { address: string, dataHall: string }[], lifetimeSeconds: number }
       assert.equal(directory.addresses.length, 3)
@@ -155,26 +155,26 @@
     })
   })
 
-  describe('bad requests', () => {
+  describe('invalid requests', () => {
     const cases: { name: string, code: string, send: () => Promise<DemoAnswer> }[] = [
       { name: 'a wrong key', code: 'ACCESS_KEY_WRONG', send: () => requestCompletion({ model: 'appeal-large', prompt: 'x' }, { key: 'wrong' }) },
-      { name: 'a body that is no JSON object', code: 'BAD_BODY', send: () => requestCompletion('text') },
+      { name: 'a body that is not a JSON object', code: 'BAD_BODY', send: () => requestCompletion('text') },
       { name: 'a missing field', code: 'BAD_BODY', send: () => requestCompletion({ model: 'appeal-large' }) },
       { name: 'a body that is too large', code: 'BODY_TOO_LARGE', send: () => requestCompletion({ model: 'appeal-large', prompt: 'x'.repeat(200_000) }) },
-      { name: 'a deadline that is no number', code: 'BAD_HEADER', send: () => requestCompletion({ model: 'appeal-large', prompt: 'x' }, { headers: { 'pulleystack-deadline-ms': 'soon' } }) },
+      { name: 'a deadline that is not a number', code: 'BAD_HEADER', send: () => requestCompletion({ model: 'appeal-large', prompt: 'x' }, { headers: { 'pulleystack-deadline-ms': 'soon' } }) },
       { name: 'a service that the caller may not use', code: 'SERVICE_UNKNOWN', send: () => sendCall(address, { method: 'GET', path: '/services/gauges/1', key: NOTARY }) },
-      { name: 'a path that names nothing', code: 'NOT_FOUND', send: () => sendCall(address, { method: 'GET', path: '/v2/x', key: FIRM }) },
-      { name: 'a method that the path does not take', code: 'METHOD_NOT_ALLOWED', send: () => sendCall(address, { method: 'DELETE', path: '/v1/models', key: FIRM }) },
+      { name: 'an unknown path', code: 'NOT_FOUND', send: () => sendCall(address, { method: 'GET', path: '/v2/x', key: FIRM }) },
+      { name: 'a method that the path does not support', code: 'METHOD_NOT_ALLOWED', send: () => sendCall(address, { method: 'DELETE', path: '/v1/models', key: FIRM }) },
       { name: 'a name that cannot be decoded', code: 'NOT_FOUND', send: () => sendCall(address, { method: 'GET', path: '/services/%E0%A4%A/1', key: FIRM }) },
     ]
     for (const testCase of cases) {
-      it(`answers ${testCase.name} with ${testCase.code}, not run`, async () => {
+      it(`rejects ${testCase.name} with ${testCase.code}, not run`, async () => {
         const error = readError(await testCase.send())
         assert.deepEqual([error.name, error.ran], [testCase.code, 'no'])
       })
     }
 
-    it('survives generated bytes on its listener', async () => {
+    it('survives random bytes on its listener', async () => {
       const random = new RandomSource(99)
       const valid = `POST /v1/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer ${FIRM}\r\ncontent-length: 20\r\n\r\n{"model":"x","a":[]}`
       const mutate = (text: string): Buffer => {
@@ -189,7 +189,7 @@
       assert.equal((await sendCall(address, { method: 'GET', path: '/healthz', key: '' })).status, 200)
     })
 
-    it('survives generated frames on its peers\' listener', async () => {
+    it('survives random frames on its peer listener', async () => {
       const random = new RandomSource(98)
       const peer = system.instances[0]?.peerAddress as string
       const upgrade = 'GET / HTTP/1.1\r\nhost: x\r\nupgrade: websocket\r\nconnection: upgrade\r\nsec-websocket-key: dGhlIHNhbXBsZSBub25jZQ==\r\nsec-websocket-version: 13\r\n\r\n'
--- a/program/instance/test/operators.test.ts
+++ b/program/instance/test/operators.test.ts
@@ -6,7 +6,7 @@
 const SHOREWATCH = 'demo-operator-shorewatch'
 const PLATFORM = 'demo-operator-platform'
 
-describe('an entry instance, as operators see it', () => {
+describe('operator interface of an entry instance', () => {
   let system: DemoSystem
 
   before(async () => {
@@ -31,7 +31,7 @@
 
   const plain = (partner: string, name: string, spec: object = {}) => ({ kind: 'Service', partner, name, spec: { type: 'plain', class: 'lookup', ...spec } })
 
-  it('brings a change to every instance within a moment', async () => {
+  it('replicates a change to every instance', async () => {
     assert.equal((await apply(PERITOS, plain('peritos', 'fresh'))).status, 200)
     await system.waitUntil(async () => system.instances.every((instance) => instance.index.findObject('Service', 'peritos', 'fresh') !== undefined))
   })
@@ -50,13 +50,13 @@
     assert.equal(readName(await apply(PLATFORM, quota)), 'CAPACITY_EXCEEDED')
   })
 
-  it('names the field of an object that is wrong', async () => {
+  it('reports the invalid field of an object', async () => {
     const answer = await apply(PERITOS, plain('peritos', 'bad', { deadlineMs: 'soon' }))
     const { error } = JSON.parse(answer.body) as { error: { code: number, field: string } }
     assert.deepEqual([error.code, error.field], [4001, 'spec.deadlineMs'])
   })
 
-  it('keeps fields that somebody else set when the same file is applied again', async () => {
+  it('keeps fields set by another operation when a file is applied again', async () => {
     await apply(PERITOS, plain('peritos', 'shared', { deadlineMs: 1_000 }))
     await send('POST', '/admin/label', PERITOS, { kind: 'Service', partner: 'peritos', name: 'shared', labels: { tier: 'gold' } }, 1)
     await apply(PERITOS, plain('peritos', 'shared', { deadlineMs: 2_000 }), 2)
@@ -65,13 +65,13 @@
     assert.deepEqual([object?.labels, object?.spec.deadlineMs], [{ tier: 'gold' }, 2_000])
   })
 
-  it('removes a field that the file no longer has', async () => {
+  it('removes a field that was removed from the file', async () => {
     await apply(PERITOS, plain('peritos', 'shrunk', { deadlineMs: 1_000 }))
     await apply(PERITOS, plain('peritos', 'shrunk'))
     assert.equal(system.instances[0]?.index.findObject('Service', 'peritos', 'shrunk')?.spec.deadlineMs, undefined)
   })
 
-  it('lets exactly one of two racing operators change the same field, and shows the other what changed', async () => {
+  it('accepts exactly one of two concurrent changes to a field, and reports the conflicting field for the other', async () => {
     await apply(PERITOS, plain('peritos', 'raced', { deadlineMs: 1_000 }))
     system.standIns.store.faults.delayMs = 30
     const answers = await Promise.all([2_000, 3_000].map((deadlineMs, at) => apply(PERITOS, plain('peritos', 'raced', { deadlineMs }), at)))
@@ -82,14 +82,14 @@
     assert.ok(loser.body.includes('spec.deadlineMs'), loser.body)
   })
 
-  it('recognises its own write when the answer was lost', async () => {
+  it('recognises its own write after a lost response', async () => {
     system.standIns.store.faults.loseAnswers = 1
     const answer = await apply(PERITOS, plain('peritos', 'unsure'))
     assert.equal(answer.status, 200)
     assert.equal((JSON.parse(answer.body) as { results: { action: string }[] }).results[0]?.action, 'created')
   })
 
-  it('shows differences and changes nothing in a dry run', async () => {
+  it('reports differences without applying them in a dry run', async () => {
     const answer = await send('POST', '/admin/apply', PERITOS, { objects: [plain('peritos', 'imagined')], dryRun: true })
     assert.equal((JSON.parse(answer.body) as { results: { action: string }[] }).results[0]?.action, 'created')
     assert.equal(system.instances[0]?.index.findObject('Service', 'peritos', 'imagined'), undefined)
@@ -102,7 +102,7 @@
     assert.ok(explanation.servers.some((server) => server.why === 'does not have the model ready'))
   })
 
-  it('merges events of all instances and hides the other partner\'s', async () => {
+  it('merges the events of all instances and hides those of the other partner', async () => {
     await sendCall(system.addresses[1] as string, { method: 'GET', path: '/services/gauges/1', key: 'demo-shorewatch-emergency' })
     const read = async (key: string) => (JSON.parse((await send('GET', '/admin/timeline?limit=5000', key)).body) as { events: { partner?: string, instance: string }[] }).events
     const all = await read(PLATFORM)
@@ -111,7 +111,7 @@
     assert.ok(!(await read(PERITOS)).some((event) => event.partner === 'shorewatch'))
   })
 
-  it('serves on while the object API is down, and says why a change cannot be taken', async () => {
+  it('keeps serving while the object API is down, and rejects changes with STORE_UNAVAILABLE', async () => {
     system.standIns.store.faults.down = true
     const lookup = await sendCall(system.addresses[0] as string, { method: 'GET', path: '/services/gauges/5', key: 'demo-shorewatch-emergency' })
     const change = await apply(PERITOS, plain('peritos', 'later'))
--- a/program/instance/test/routes.test.ts
+++ b/program/instance/test/routes.test.ts
@@ -28,17 +28,17 @@
     assert.deepEqual(JSON.parse(answer.body), { path: '/filings/7?copy=2', method: 'POST', work: 'w-1', length: 0 })
   })
 
-  it('is served by the other interface where no route takes it', async () => {
+  it('is served by the caller interface if no route matches', async () => {
     assert.equal((await send({ path: '/none' })).status, 404)
     assert.equal((await send({ path: '/services/window/plots/1', host: 'other.example' })).status, 200)
   })
 
-  it('needs a key that the service lets in', async () => {
+  it('requires a key that may use the service', async () => {
     assert.equal((await send({ path: '/plots/1', key: 'wrong' })).status, 401)
     assert.equal((await send({ path: '/plots/1', key: EMERGENCY })).status, 404)
   })
 
-  it('is explained to its partner\'s operators, and to no others', async () => {
+  it('is explained only to operators of its partner and of the platform', async () => {
     const explain = (partner: string, path: string): Promise<DemoAnswer> =>
       sendCall(system.addresses[0] as string, { method: 'GET', path: `/admin/explain-route?host=${HOST}&path=${path}`, key: `demo-operator-${partner}` })
     const answer = await explain('peritos', '/plots/1')
@@ -54,7 +54,7 @@
     assert.equal((await explain('platform', '/plots/1')).status, 200)
   })
 
-  it('is refused by admission under another partner\'s host or a missing service', async () => {
+  it('is rejected by admission for another partner\'s host or an unknown service', async () => {
     const route = (host: string, service: string): unknown => ({
       kind: 'Route',
       partner: 'shorewatch',
@@ -69,7 +69,7 @@
     assert.match(missing.body, /spec\.targets/)
   })
 
-  it('follows a change of its route', async () => {
+  it('follows a change to its route', async () => {
     const changed = { kind: 'Route', partner: 'shorewatch', name: 'gauges', spec: { host: 'g.example', pathPrefix: '/s/', targets: [{ service: 'gauges', weight: 1 }], repeat: 'repeatable', timeoutMs: 1000 } }
     assert.equal((await apply('shorewatch', [changed])).status, 200)
     await system.waitUntil(async () => (await send({ path: '/s/1', host: 'g.example', key: EMERGENCY })).status === 200)
