--- a/program/instance/src/createGateways.ts
+++ b/program/instance/src/createGateways.ts
@@ -6,7 +6,7 @@
 import { RateLimiter } from '@pulleystack/routing.limiter'
 import { collectTimeline } from '@pulleystack/timeline.merge'
 import type { Control } from './createControl.js'
-import { createRouted, type Routed } from './createRouted.js'
+import { createRoutedRequests, type RoutedRequests } from './createRoutedRequests.js'
 import type { Routing } from './createRouting.js'
 import type { Core } from './startInstance.js'
 
@@ -19,7 +19,7 @@
 export interface Gateways {
   callers: CallerGateway
   admin: AdminGateway
-  routed: Routed
+  routed: RoutedRequests
 }
 
 export function createGateways (core: Core, routing: Routing, control: Control): Gateways {
@@ -37,7 +37,7 @@
   const explainLocally = (partner: string, caller: string, target: ExplainTarget): Explanation =>
     explainRequest({ ...core, ...routing }, partner, caller, target)
   core.network.handleCalls(EXPLAIN, (_, body) => explainLocally(body.partner, body.caller, body.target))
-  const routed = createRouted(core, routing)
+  const routed = createRoutedRequests(core, routing)
   const admin = new AdminGateway({
     ...core,
     operators: settings.operators,
--- a/program/instance/src/createRouted.ts
+++ b/program/instance/src/createRoutedRequests.ts
@@ -30,7 +30,7 @@
 const UNLIMITED = Number.MAX_SAFE_INTEGER
 
 /** Serves requests that match a route of the configuration. */
-export interface Routed {
+export interface RoutedRequests {
   gateway: RoutedGateway
   /** Explains where requests for a host and path could run now, for one partner's routes or for all. */
   explain: (partner: string | undefined, host: string, path: string) => RouteExplanation
@@ -39,7 +39,7 @@
 }
 
 /** Creates the gateway for routed requests to plain services, from the objects and servers known to the instance. */
-export function createRouted (core: Core, routing: Routing): Routed {
+export function createRoutedRequests (core: Core, routing: Routing): RoutedRequests {
   const { clock, random, index, replica, settings } = core
   const fleet = new BackendFleet()
   const log = new SilentDecisionLog()
