--- a/program/demo/src/demoTraffic.ts
+++ b/program/demo/src/demoTraffic.ts
@@ -2,7 +2,7 @@
 import { readStreamText, sendCall, type DemoAnswer } from './DemoCaller.js'
 import type { StandIns } from './startStandIns.js'
 
-const TOKENS_PER_ANSWER = 24
+const TOKENS_PER_RESPONSE = 24
 const ROUNDS = 40
 
 /** Results of the demo's requests; duplicates are counted at the stand-ins. */
@@ -70,23 +70,23 @@
 
 function buildDraft (kind: string, key: string, model: string, work: string): DemoCall {
   const content = `${'Facts of the parcel and the law that applies to it. '.repeat(12)} ${work}`
-  const body = { model, stream: true, max_tokens: TOKENS_PER_ANSWER, messages: [{ role: 'user', content }] }
+  const body = { model, stream: true, max_tokens: TOKENS_PER_RESPONSE, messages: [{ role: 'user', content }] }
   return {
     kind,
     work,
     send: (address) => sendCall(address, { method: 'POST', path: '/v1/chat/completions', key, body }),
-    isComplete: (answer) => readStreamText(answer.body) === buildExpectedText(work, TOKENS_PER_ANSWER),
+    isComplete: (answer) => readStreamText(answer.body) === buildExpectedText(work, TOKENS_PER_RESPONSE),
   }
 }
 
 function buildReview (round: number): DemoCall {
   const work = `review-${round}`
-  const body = { model: 'zoning-review', max_tokens: TOKENS_PER_ANSWER, prompt: `Zoning of ${work}` }
+  const body = { model: 'zoning-review', max_tokens: TOKENS_PER_RESPONSE, prompt: `Zoning of ${work}` }
   return {
     kind: 'unstreamed review',
     work,
     send: (address) => sendCall(address, { method: 'POST', path: '/v1/completions', key: 'demo-peritos-firm', body }),
-    isComplete: (answer) => (JSON.parse(answer.body) as { choices?: { text: string }[] }).choices?.[0]?.text === buildExpectedText(work, TOKENS_PER_ANSWER),
+    isComplete: (answer) => (JSON.parse(answer.body) as { choices?: { text: string }[] }).choices?.[0]?.text === buildExpectedText(work, TOKENS_PER_RESPONSE),
   }
 }
 
@@ -126,7 +126,7 @@
 
 function buildWarning (round: number): DemoCall {
   const work = `warning-${round}`
-  const body = { model: 'warning-superior', max_tokens: TOKENS_PER_ANSWER, prompt: `Issue ${work}` }
+  const body = { model: 'warning-superior', max_tokens: TOKENS_PER_RESPONSE, prompt: `Issue ${work}` }
   return {
     kind: 'warning',
     work,
--- a/program/demo/src/index.ts
+++ b/program/demo/src/index.ts
@@ -1,6 +1,6 @@
 export { runDemo } from './runDemo.js'
-export { DemoSystem, DEMO_DATA_HALLS as DEMO_HALLS } from './DemoSystem.js'
-export type { SettingsOverrides as SettingsChange } from './DemoSystem.js'
+export { DemoSystem, DEMO_DATA_HALLS } from './DemoSystem.js'
+export type { SettingsOverrides } from './DemoSystem.js'
 export { startStandIns } from './startStandIns.js'
 export type { StandIns } from './startStandIns.js'
 export { readExample, readExampleText } from './readExample.js'
