--- a/program/entry/test/TimerDelay.test.ts
+++ b/program/entry/test/TimerDelay.test.ts
@@ -3,16 +3,16 @@
 import { ManualClock, type CancelTimer } from '@pulleystack/core.clock'
 import { TimerDelay } from '../src/TimerDelay.js'
 
-/** Runs every timer late. */
+/** Runs every timer `delayMs` late. */
 class LateClock extends ManualClock {
-  lateMs = 0
+  delayMs = 0
 
   override setTimer (ms: number, task: () => void): CancelTimer {
-    return super.setTimer(ms + this.lateMs, task)
+    return super.setTimer(ms + this.delayMs, task)
   }
 }
 
-describe('the delay of timers', () => {
+describe('timer delay', () => {
   let clock: LateClock
   let delay: TimerDelay
   let ended: AbortController
@@ -26,24 +26,24 @@
 
   afterEach(() => ended.abort())
 
-  it('is nothing while timers are on time', async () => {
+  it('is zero while timers are on time', async () => {
     await clock.advance(3_000)
     assert.equal(delay.longestMs, 0)
   })
 
-  describe('after one timer was late', () => {
+  describe('after a late timer', () => {
     beforeEach(async () => {
-      clock.lateMs = 300
+      clock.delayMs = 300
       await clock.advance(1_300)
-      clock.lateMs = 0
+      clock.delayMs = 0
       await clock.advance(1_000)
     })
 
-    it('is the longest of the last seconds', () => {
+    it('is the longest delay of the last samples', () => {
       assert.equal(delay.longestMs, 300)
     })
 
-    it('is forgotten later', async () => {
+    it('expires with its sample', async () => {
       await clock.advance(6_000)
       assert.equal(delay.longestMs, 0)
     })
--- a/program/instance/src/createRouted.ts
+++ b/program/instance/src/createRoutedRequests.ts
@@ -19,27 +19,27 @@
 import type { Core } from './startInstance.js'
 
 const DEFAULT_PRIORITY = 5
-const DEFAULT_TARGET_MS = 1_000
+const DEFAULT_TARGET_LATENCY_MS = 1_000
 const DEFAULT_ATTEMPTS = 2
 const MAX_CONNECTIONS = 200
-const SLOTS = 64
+const SLOTS_PER_SERVER = 64
 const RETRY_RATIO = 0.1
-const RETRY_EXTRA = 20
+const EXTRA_RETRIES = 20
 const RETRY_WINDOW_MS = 10_000
-/** Idle connections of clients are bounded by the instance's own listener. */
-const UNUSED_LIMIT = Number.MAX_SAFE_INTEGER
+/** The instance's listener enforces header and idle limits itself. */
+const UNLIMITED = Number.MAX_SAFE_INTEGER
 
-/** Requests that routes of the configuration take. */
-export interface Routed {
+/** Serves requests that match a route of the configuration. */
+export interface RoutedRequests {
   gateway: RoutedGateway
-  /** Says where requests for a host and path could run now; of one partner's routes, or of all. */
+  /** Explains where requests for a host and path could run now, for one partner's routes or for all. */
   explain: (partner: string | undefined, host: string, path: string) => RouteExplanation
-  /** Serves the request if a route takes its host and path; false when none does. */
+  /** Serves the request if a route matches its host and path; resolves with false if none does. */
   tryHandle: (request: http.IncomingMessage, response: http.ServerResponse, url: URL) => Promise<boolean>
 }
 
-/** The gateway for routed requests to plain services, on the objects and servers that the instance knows. */
-export function createRouted (core: Core, routing: Routing): Routed {
+/** Creates the gateway for routed requests to plain services, from the objects and servers known to the instance. */
+export function createRoutedRequests (core: Core, routing: Routing): RoutedRequests {
   const { clock, random, index, replica, settings } = core
   const fleet = new BackendFleet()
   const log = new SilentDecisionLog()
@@ -97,7 +97,7 @@
   return { gateway, explain, tryHandle }
 }
 
-/** Budgets for further attempts; here the bound is one of each life of an instance. */
+/** Creates retry budgets, bounded separately for each process run of an instance. */
 function createBudgets ({ clock, network, view }: Core): RetryBudgets {
   const standing = {
     countInstances: () => view.listEligible().length,
@@ -105,10 +105,10 @@
     readLifeMs: () => Infinity,
     listPeers: () => [],
   }
-  return new RetryBudgets({ clock, network, standing, ratio: RETRY_RATIO, extra: RETRY_EXTRA, windowMs: RETRY_WINDOW_MS })
+  return new RetryBudgets({ clock, network, standing, ratio: RETRY_RATIO, extra: EXTRA_RETRIES, windowMs: RETRY_WINDOW_MS })
 }
 
-/** Requests under which servers ended, as all instances know them; after all of them have ended at once nobody does. */
+/** Creates the quarantine for requests during which servers crashed. All instances share it in memory; it is lost if all stop at once. */
 function createQuarantine ({ clock, network, view, ended }: Core): Quarantine {
   const { instance } = view.self
   const listServing = (): string[] => view.listEligible().map((identity) => identity.instance).filter((other) => other !== instance)
@@ -117,14 +117,14 @@
   return quarantine
 }
 
-/** Plain services have no models to place. */
+/** Residency of plain services, which have no models to place. */
 class NoResidency extends ResidencyClient {
   override async requestWeights (): Promise<NeedAnswer> {
     return { coming: false, reason: 'routes lead to plain services' }
   }
 
   override noteDemand (): void {
-    // Nothing is placed for plain services.
+    // Nothing to place.
   }
 
   override noteInHand (): () => void {
@@ -132,7 +132,7 @@
   }
 
   override noteEnded (): void {
-    // Nothing is placed for plain services.
+    // Nothing to place.
   }
 }
 
@@ -144,7 +144,7 @@
     version: core.replica.newestVersion,
     routes,
     services: [...names].map((name) => ({ name, maxConnections: MAX_CONNECTIONS, serving: undefined })),
-    limits: { headerBytes: UNUSED_LIMIT, bodyBytes: core.settings.limits.bodyBytes, headerTimeoutMs: UNUSED_LIMIT, idleTimeoutMs: UNUSED_LIMIT },
+    limits: { headerBytes: UNLIMITED, bodyBytes: core.settings.limits.bodyBytes, headerTimeoutMs: UNLIMITED, idleTimeoutMs: UNLIMITED },
   }
 }
 
@@ -159,14 +159,14 @@
     streams: spec.streams ?? false,
     resumable: spec.resumable ?? false,
     timeoutMs: spec.timeoutMs,
-    targetLatencyMs: spec.targetLatencyMs ?? Math.min(DEFAULT_TARGET_MS, spec.timeoutMs),
+    targetLatencyMs: spec.targetLatencyMs ?? Math.min(DEFAULT_TARGET_LATENCY_MS, spec.timeoutMs),
     longestPauseMs: spec.longestPauseMs,
     priority: spec.priority ?? DEFAULT_PRIORITY,
     maxAttempts: spec.maxAttempts ?? (spec.repeat === 'once' ? 1 : DEFAULT_ATTEMPTS),
   }
 }
 
-/** The servers that selectors allow for each routed service. */
+/** Lists the servers that selectors allow for each routed service. */
 function listEntries (core: Core, routing: Routing): BackendEntry[] {
   const services = new Set(core.index.listObjects(Kinds.ROUTE).flatMap(({ partner, spec }) => spec.targets.map((target) => `${partner}/${target.service}`)))
   return [...services].flatMap((service) => {
@@ -176,7 +176,7 @@
       service,
       address: server.address,
       dataHall: server.dataHall,
-      slots: SLOTS,
+      slots: SLOTS_PER_SERVER,
       draining: server.leaving,
       models: undefined,
       inMemory: [],
@@ -185,14 +185,14 @@
   })
 }
 
-/** A caller's key opens a route when its selectors let the caller into each of the route's services. */
+/** Throws unless the request's key belongs to a caller that may use all services of the route. */
 function authorize (index: Core['index'], request: http.IncomingMessage, route: Route): void {
   const key = parseBearer(request.headers)
   const caller = key === undefined ? undefined : index.findCaller(hashAccessKey(key))
-  if (!caller) throw new PulleystackError('ACCESS_KEY_WRONG', 'The access key is missing or not known', { hint: 'Send it as "Authorization: Bearer KEY".' })
+  if (!caller) throw new PulleystackError('ACCESS_KEY_WRONG', 'The access key is missing or unknown', { hint: 'Send it as "Authorization: Bearer KEY".' })
   for (const target of route.targets) {
     const [partner, name] = target.service.split('/') as [string, string]
-    if (partner !== caller.partner) throw new PulleystackError('SERVICE_UNKNOWN', 'No such route is open to this caller')
+    if (partner !== caller.partner) throw new PulleystackError('SERVICE_UNKNOWN', 'No such route is available to this caller')
     findAllowedService(index, caller, name)
   }
 }
