--- a/core/addresses/src/parseAddress.ts
+++ b/core/addresses/src/parseAddress.ts
@@ -1,10 +1,10 @@
-/** An address taken apart, as Node's functions take it. */
+/** A host and a port, in the form that Node's network functions expect. */
 export interface HostAndPort {
   host: string
   port: number
 }
 
-/** Takes an address apart at its last colon; IPv6 numbers may stand in brackets. */
+/** Splits an address at its last colon. IPv6 addresses may be enclosed in brackets. */
 export function parseAddress (address: string): HostAndPort {
   const colon = address.lastIndexOf(':')
   return { host: address.slice(0, colon).replace(/^\[|\]$/g, ''), port: Number(address.slice(colon + 1)) }
--- a/core/clock/src/Clock.ts
+++ b/core/clock/src/Clock.ts
@@ -1,16 +1,16 @@
 /** Cancels a timer. */
 export type CancelTimer = () => void
 
-/** Source of time; everything that waits or measures takes one. */
+/** Source of time and timers. */
 export abstract class Clock {
-  /** Milliseconds since 1970. May step; used only for display and for expiries that others must read. */
+  /** Milliseconds since the Unix epoch. May jump; use it only for display and for expiry times that other machines read. */
   abstract readWallTime (): number
-  /** Milliseconds from an arbitrary start; never goes back. */
+  /** Monotonic time in milliseconds from an arbitrary start. */
   abstract readTime (): number
   /** Runs `task` once after `ms` milliseconds. */
   abstract setTimer (ms: number, task: () => void): CancelTimer
 
-  /** Resolves after `ms` milliseconds, or at once when the signal is aborted. */
+  /** Resolves after `ms` milliseconds, or as soon as the signal is aborted. */
   wait (ms: number, signal?: AbortSignal): Promise<void> {
     return new Promise((resolve) => {
       if (signal?.aborted) {
@@ -28,7 +28,7 @@
   }
 }
 
-/** The machine's own clock. */
+/** The clock of the machine. */
 export class SystemClock extends Clock {
   readWallTime (): number {
     return Date.now()
@@ -45,11 +45,11 @@
 }
 
 interface ManualTimer {
-  at: number
+  dueAt: number
   task: () => void
 }
 
-/** A clock that only moves when told to; for tests and trace replay. */
+/** A clock that moves only through `advance`, for tests and trace replay. */
 export class ManualClock extends Clock {
   private now = 0
   private readonly timers = new Set<ManualTimer>()
@@ -63,32 +63,32 @@
   }
 
   setTimer (ms: number, task: () => void): CancelTimer {
-    const timer: ManualTimer = { at: this.now + Math.max(0, ms), task }
+    const timer: ManualTimer = { dueAt: this.now + Math.max(0, ms), task }
     this.timers.add(timer)
     return () => {
       this.timers.delete(timer)
     }
   }
 
-  /** Moves time forward, running timers in their order and letting promises settle after each. */
+  /** Advances time by `ms` milliseconds. Runs due timers in order and lets promises settle after each one. */
   async advance (ms: number): Promise<void> {
     const end = this.now + ms
     await settlePromises()
-    for (let next = this.findNext(end); next; next = this.findNext(end)) {
+    for (let next = this.findNextTimer(end); next; next = this.findNextTimer(end)) {
       this.timers.delete(next)
-      this.now = Math.max(this.now, next.at)
+      this.now = Math.max(this.now, next.dueAt)
       next.task()
       await settlePromises()
     }
     this.now = end
   }
 
-  private findNext (end: number): ManualTimer | undefined {
-    let first: ManualTimer | undefined
+  private findNextTimer (end: number): ManualTimer | undefined {
+    let earliest: ManualTimer | undefined
     for (const timer of this.timers) {
-      if (timer.at <= end && (!first || timer.at < first.at)) first = timer
+      if (timer.dueAt <= end && (!earliest || timer.dueAt < earliest.dueAt)) earliest = timer
     }
-    return first
+    return earliest
   }
 }
 
--- a/core/clock/src/RandomSource.ts
+++ b/core/clock/src/RandomSource.ts
@@ -2,28 +2,27 @@
 import { uniformInt } from 'pure-rand/distribution/uniformInt'
 import type { RandomGenerator } from 'pure-rand/types/RandomGenerator'
 
-const PRECISION = 0x1000000
+const FRACTION_STEPS = 0x1000000
 
-/** Source of random numbers, injected so that a run can be repeated. */
+/** Source of random numbers; a fixed seed makes a run repeatable. */
 export class RandomSource {
   private readonly generator: RandomGenerator
 
-  /** The same seed gives the same numbers. */
   constructor (seed: number = Math.floor(Math.random() * 0x7fffffff)) {
     this.generator = xoroshiro128plus(seed)
   }
 
-  /** A number from 0 up to, but without, 1. */
+  /** Returns a number from 0 (inclusive) to 1 (exclusive). */
   readFraction (): number {
-    return uniformInt(this.generator, 0, PRECISION - 1) / PRECISION
+    return uniformInt(this.generator, 0, FRACTION_STEPS - 1) / FRACTION_STEPS
   }
 
-  /** A whole number from 0 up to, but without, `bound`. */
+  /** Returns an integer from 0 (inclusive) to `bound` (exclusive). */
   readBelow (bound: number): number {
     return uniformInt(this.generator, 0, bound - 1)
   }
 
-  /** One element of a list that is not empty. */
+  /** Returns a random element. The list must not be empty. */
   pickOne<T> (list: readonly T[]): T {
     return list[this.readBelow(list.length)] as T
   }
--- a/core/errors/src/PulleystackError.ts
+++ b/core/errors/src/PulleystackError.ts
@@ -1,21 +1,21 @@
 import { Ran, ResultCodes, type ResultCode, type ResultCodeName } from './resultCodes.js'
 
-/** What may accompany an error besides its message. */
+/** Optional properties of an error. */
 export interface PulleystackErrorOptions {
-  /** What the reader can do about it. */
+  /** What the user can do about it. */
   hint?: string
-  /** The field, header or setting at fault. */
+  /** The invalid field, header or setting. */
   field?: string
-  /** Overrides the code's own statement where more is known. */
+  /** Overrides the default of the result code if more is known. */
   ran?: Ran
-  /** Seconds after which asking again makes sense. */
+  /** Seconds after which the caller may retry. */
   retryAfterSeconds?: number
-  /** Further facts for the reader, plain JSON. */
+  /** Additional information as plain JSON. */
   details?: unknown
   cause?: unknown
 }
 
-/** The body with which an error goes to callers and operators. */
+/** The JSON body of an error response. */
 export interface ErrorBody {
   error: {
     code: number
@@ -29,7 +29,7 @@
   }
 }
 
-/** The one error class of the program; `code` is stable, the message is for people. */
+/** The error class of the program. `code` is stable; the message is for people and may change. */
 export class PulleystackError extends Error {
   readonly code: ResultCodeName
   readonly ran: Ran
@@ -49,12 +49,12 @@
     this.details = opts.details
   }
 
-  /** The row of the table. */
+  /** The entry of this error's code in `ResultCodes`. */
   get row (): ResultCode {
     return ResultCodes[this.code]
   }
 
-  /** Renders the error for an HTTP answer. */
+  /** Returns the body of an HTTP response for this error. */
   renderBody (requestId?: string): ErrorBody {
     const error: ErrorBody['error'] = { code: this.row.number, name: this.code, message: this.message, ran: this.ran }
     if (this.hint !== undefined) error.hint = this.hint
@@ -65,14 +65,14 @@
   }
 }
 
-/** Turns anything thrown into the one error class; what was not expected becomes INTERNAL. */
+/** Converts any thrown value to a `PulleystackError`. Unexpected errors become INTERNAL. */
 export function convertToError (thrown: unknown): PulleystackError {
   if (thrown instanceof PulleystackError) return thrown
   const message = thrown instanceof Error ? thrown.message : String(thrown)
   return new PulleystackError('INTERNAL', `Unexpected fault: ${message}`, { cause: thrown })
 }
 
-/** Reads an error back from the body of an answer, for clients of the program. */
+/** Parses the body of an error response; undefined if it has no known result code. */
 export function parseErrorBody (body: unknown): PulleystackError | undefined {
   const error = (body as Partial<ErrorBody> | undefined)?.error
   if (!error || !(error.name in ResultCodes)) return undefined
--- a/core/errors/test/resultCodes.test.ts
+++ b/core/errors/test/resultCodes.test.ts
@@ -7,12 +7,12 @@
 const TABLE = path.join(import.meta.dirname, '../../../docs/result-codes.md')
 
 describe('result codes', () => {
-  it('have numbers of their own', () => {
+  it('have unique numbers', () => {
     const numbers = Object.values(ResultCodes).map((code) => code.number)
     assert.equal(new Set(numbers).size, numbers.length)
   })
 
-  it('stand in docs/result-codes.md as they are in the code', () => {
+  it('match the table in docs/result-codes.md', () => {
     const rows = readFileSync(TABLE, 'utf8').split('\n').filter((line) => /^\| \d/.test(line))
     const expected = Object.entries(ResultCodes).map(([name, code]) => `| ${code.number} | ${name} | ${code.status} | ${code.ran} | ${code.meaning} |`)
     assert.deepEqual(rows, expected)
@@ -20,13 +20,13 @@
 })
 
 describe('PulleystackError', () => {
-  it('survives the way to a client and back', () => {
+  it('is restored from its response body', () => {
     const error = new PulleystackError('OVERLOADED', 'too much', { field: 'x', hint: 'wait' })
     const read = parseErrorBody(error.renderBody('r1'))
     assert.deepEqual([read?.code, read?.message, read?.ran, read?.field, read?.hint], ['OVERLOADED', 'too much', 'no', 'x', 'wait'])
   })
 
-  it('takes what nobody expected for a fault whose effect is unknown', () => {
+  it('treats an unexpected error as one whose effect is unknown', () => {
     assert.equal(convertToError(new Error('x')).ran, 'unknown')
   })
 })
--- a/core/hashing/src/hashAccessKey.ts
+++ b/core/hashing/src/hashAccessKey.ts
@@ -1,6 +1,6 @@
 import { hash } from 'node:crypto'
 
-/** SHA-256 in hexadecimal. Access keys are long random texts, so that no slow hash is needed. */
+/** Returns the SHA-256 of a key in hexadecimal. Access keys are long and random, so they need no slow password hash. */
 export function hashAccessKey (key: string): string {
   return hash('sha256', key, 'hex')
 }
--- a/core/hashing/src/hashParts.ts
+++ b/core/hashing/src/hashParts.ts
@@ -1,9 +1,9 @@
 import { createHash } from 'node:crypto'
 
-/** Enough that no two of billions of requests have the same, in bytes. */
+/** Long enough to rule out collisions among billions of requests. */
 const DIGEST_BYTES = 16
 
-/** A digest (SHA-256, cut to 128 bits, base64url) of texts and bytes that follow; the same bytes split otherwise between them give another one. */
+/** Hashes texts and the bytes after them (SHA-256, cut to 128 bits, base64url). Splitting the same content differently changes the hash. */
 export function hashParts (texts: readonly string[], bytes: Buffer | undefined): string {
   const digest = createHash('sha256').update(JSON.stringify(texts))
   if (bytes) digest.update(bytes)
--- a/core/headers/src/describeUnreadable.ts
+++ b/core/headers/src/describeUnreadable.ts
@@ -1,7 +1,6 @@
-/** Characters of an unreadable value that are shown. */
-const MAX_SHOWN = 64
+const MAX_SHOWN_CHARACTERS = 64
 
-/** A header that could not be read, shortened for a log line. */
+/** Formats an invalid header for a log line. Long values are truncated. */
 export function describeUnreadable (name: string, value: string | readonly string[]): string {
-  return `${name}: ${String(value).slice(0, MAX_SHOWN)}`
+  return `${name}: ${String(value).slice(0, MAX_SHOWN_CHARACTERS)}`
 }
--- a/core/headers/src/parseRetryAfter.ts
+++ b/core/headers/src/parseRetryAfter.ts
@@ -1,11 +1,11 @@
 import { parseDecimal } from './parseDecimal.js'
 
-/** The forms of an HTTP date begin with the name of a day; Date.parse alone would also read what is no date. */
+/** All HTTP date formats begin with the name of a day. Date.parse alone accepts much more. */
 const HTTP_DATE = /^[A-Z][a-z]{2,8},? .*\d:\d{2}:\d{2}/
 
 /**
- * Milliseconds that a Retry-After header asks for (RFC 9110, 10.2.3); undefined when it can't be read. Seconds may have a fraction, beyond the RFC. A date
- * counts from the answer's own Date, since the clocks of two machines differ and one may have stepped.
+ * Parses a Retry-After header (RFC 9110, 10.2.3) into milliseconds; undefined if it is invalid. Beyond the RFC, seconds may have a fraction.
+ * A date is relative to the response's own Date header, because the clocks of two machines differ.
  */
 export function parseRetryAfter (value: string, answerDate: string | undefined): number | undefined {
   const seconds = parseDecimal(value)
