--- a/backend/http/src/HttpEngineClient.ts
+++ b/backend/http/src/HttpEngineClient.ts
@@ -7,9 +7,9 @@
 import { Paths, type GenerateLine } from './wire.js'
 
 const TIMEOUT_MS = 2_000
-const MAX_LINE = 1 << 20
+const MAX_LINE_CHARACTERS = 1 << 20
 
-/** Model engines over HTTP; answers are lines of JSON. */
+/** Client for model engines over HTTP. Generated tokens arrive as lines of JSON. */
 export class HttpEngineClient extends EngineClient {
   private readonly agent = new http.Agent({ keepAlive: true, maxSockets: 2_000, scheduling: 'lifo' })
 
@@ -53,7 +53,7 @@
   private async read<T> (address: string, path: string, timeoutMs: number, signal?: AbortSignal): Promise<Result<T, PulleystackError>> {
     try {
       const answer = await exchange({ address, method: 'GET', path, agent: this.agent, timeoutMs, signal })
-      if (answer.status !== 200) return err(new PulleystackError('BACKEND_REFUSED', `${address} answered ${path} with status ${answer.status}`))
+      if (answer.status !== 200) return err(new PulleystackError('BACKEND_REFUSED', `${address} responded to ${path} with status ${answer.status}`))
       return ok(parseJson<T>(answer.body))
     } catch (thrown) {
       return err(convertToError(thrown))
@@ -66,49 +66,49 @@
     opts: { attempt: string, body: string, sink: TokenSink, signal: AbortSignal },
   ): Promise<GenerateEnd> {
     const headers = { 'content-type': 'application/json', 'content-length': Buffer.byteLength(opts.body) }
-    const exchanged = { address, method: 'POST', path, headers, agent: this.agent, signal: opts.signal }
-    const response = await openExchange(exchanged, (request) => request.end(opts.body))
-    if (response.statusCode !== 200) throw await createRefusal(address, response)
+    const exchangeOpts = { address, method: 'POST', path, headers, agent: this.agent, signal: opts.signal }
+    const response = await openExchange(exchangeOpts, (request) => request.end(opts.body))
+    if (response.statusCode !== 200) throw await createRejectionError(address, response)
     return readTokens(address, opts.attempt, response, opts.sink)
   }
 }
 
-async function createRefusal (address: string, response: http.IncomingMessage): Promise<PulleystackError> {
+async function createRejectionError (address: string, response: http.IncomingMessage): Promise<PulleystackError> {
   const status = response.statusCode ?? 0
   response.resume()
-  // Engines refuse before they act; any other status leaves open whether they did.
+  // Engines send these statuses only before they start the request; with any other it may have run.
   const ran = status === 409 || status === 429 || status === 503 || status === 404 ? Ran.NO : Ran.UNKNOWN
-  return new PulleystackError('BACKEND_REFUSED', `Engine ${address} answered with status ${status}`, { ran })
+  return new PulleystackError('BACKEND_REFUSED', `Engine ${address} responded with status ${status}`, { ran })
 }
 
-function createBreak (address: string, cause: unknown): PulleystackError {
+function createStreamError (address: string, cause: unknown): PulleystackError {
   if (cause instanceof PulleystackError) return cause
   const reason = cause instanceof Error ? cause.message : String(cause)
-  return new PulleystackError('ATTEMPT_FAILED_UNKNOWN', `Engine ${address} broke off: ${reason}`, { ran: Ran.UNKNOWN, cause })
+  return new PulleystackError('ATTEMPT_FAILED_UNKNOWN', `The stream from engine ${address} failed: ${reason}`, { ran: Ran.UNKNOWN, cause })
 }
 
-/** Reads lines as they come and gives each token on at once. */
+/** Parses the stream line by line and passes each token to the sink as it arrives. */
 function readTokens (address: string, attempt: string, response: http.IncomingMessage, sink: TokenSink): Promise<GenerateEnd> {
   const decoder = new StringDecoder('utf8')
-  let rest = ''
+  let partialLine = ''
   let end: GenerateEnd | undefined
-  const takeLine = (line: string): void => {
+  const handleLine = (line: string): void => {
     const item = JSON.parse(line) as GenerateLine
-    if ('t' in item) holdBack(response, sink({ attempt, offset: item.t[0], text: item.t[1] }))
+    if ('t' in item) applyBackpressure(response, sink({ attempt, offset: item.t[0], text: item.t[1] }))
     else if ('end' in item) end = { attempt, ...item.end }
-    else if (item.attempt !== attempt) throw createMixUp(item.attempt, attempt)
+    else if (item.attempt !== attempt) throw createMismatchError(item.attempt, attempt)
   }
   return new Promise((resolve, reject) => {
     const fail = (cause: unknown): void => {
       response.destroy()
-      reject(createBreak(address, cause))
+      reject(createStreamError(address, cause))
     }
     response.on('data', (chunk: Buffer) => {
-      const lines = (rest + decoder.write(chunk)).split('\n')
-      rest = lines.pop() ?? ''
+      const lines = (partialLine + decoder.write(chunk)).split('\n')
+      partialLine = lines.pop() ?? ''
       try {
-        if (rest.length > MAX_LINE) throw new Error('a line is too long')
-        lines.forEach(takeLine)
+        if (partialLine.length > MAX_LINE_CHARACTERS) throw new Error('line is too long')
+        lines.forEach(handleLine)
       } catch (cause) {
         fail(cause)
       }
@@ -119,13 +119,13 @@
   })
 }
 
-/** A reader that can't keep up stops the engine's stream, and so in the end the engine. */
-function holdBack (response: http.IncomingMessage, held: void | Promise<void>): void {
-  if (!held) return
+/** Pauses the stream until the sink is ready, which in turn slows down the engine. */
+function applyBackpressure (response: http.IncomingMessage, settled: void | Promise<void>): void {
+  if (!settled) return
   response.pause()
-  void held.finally(() => response.resume())
+  void settled.finally(() => response.resume())
 }
 
-function createMixUp (other: string, attempt: string): PulleystackError {
-  return new PulleystackError('ATTEMPT_FAILED_UNKNOWN', `An answer for attempt ${other} came to attempt ${attempt}`)
+function createMismatchError (otherAttempt: string, attempt: string): PulleystackError {
+  return new PulleystackError('ATTEMPT_FAILED_UNKNOWN', `Expected a response for attempt ${attempt}, but received one for attempt ${otherAttempt}`)
 }
--- a/backend/http/src/HttpInstanceList.ts
+++ b/backend/http/src/HttpInstanceList.ts
@@ -7,7 +7,7 @@
 
 const TIMEOUT_MS = 3_000
 
-/** The instance list over HTTP. */
+/** Client for the platform's instance list over HTTP. */
 export class HttpInstanceList extends InstanceList {
   private readonly agent = new http.Agent({ keepAlive: true })
 
@@ -22,7 +22,7 @@
   async listInstances (): Promise<Result<ListedInstance[], PulleystackError>> {
     try {
       const answer = await exchange({ address: this.opts.address, method: 'GET', path: Paths.INSTANCES, agent: this.agent, timeoutMs: TIMEOUT_MS })
-      if (answer.status !== 200) return err(new PulleystackError('STORE_UNAVAILABLE', `The instance list answered with status ${answer.status}`))
+      if (answer.status !== 200) return err(new PulleystackError('STORE_UNAVAILABLE', `The instance list responded with status ${answer.status}`))
       return ok(parseJson<ListedInstance[]>(answer.body))
     } catch (thrown) {
       return err(new PulleystackError('STORE_UNAVAILABLE', convertToError(thrown).message, { cause: thrown }))
--- a/backend/http/src/HttpServiceClient.ts
+++ b/backend/http/src/HttpServiceClient.ts
@@ -5,7 +5,7 @@
 import { openExchange } from './exchange.js'
 import { ATTEMPT_HEADER, RAN_HEADER } from './wire.js'
 
-/** Plain services over HTTP. An answer that does not carry the attempt's id is another request's and is refused. */
+/** Client for plain services over HTTP. It rejects responses without the id of the attempt, which belong to another request. */
 export class HttpServiceClient extends ServiceClient {
   private readonly agent = new http.Agent({ keepAlive: true, maxSockets: 2_000, scheduling: 'lifo' })
 
@@ -20,11 +20,11 @@
     const response = await openExchange(opts, (request) => writeBody(request, call.body))
     if (response.headers[ATTEMPT_HEADER] !== call.attempt) {
       response.destroy()
-      throw new PulleystackError('ATTEMPT_FAILED_UNKNOWN', `${address} answered another attempt than ${call.attempt}`, { ran: Ran.UNKNOWN })
+      throw new PulleystackError('ATTEMPT_FAILED_UNKNOWN', `The response from ${address} does not belong to attempt ${call.attempt}`, { ran: Ran.UNKNOWN })
     }
     if (response.statusCode === 503 && response.headers[RAN_HEADER] === Ran.NO) {
       response.resume()
-      throw new PulleystackError('BACKEND_REFUSED', `${address} refused the call before it ran`, { ran: Ran.NO })
+      throw new PulleystackError('BACKEND_REFUSED', `${address} rejected the call without running it`, { ran: Ran.NO })
     }
     return { status: response.statusCode ?? 502, headers: response.headers, body: response }
   }
--- a/backend/http/src/HttpWeightStore.ts
+++ b/backend/http/src/HttpWeightStore.ts
@@ -6,7 +6,7 @@
 
 const TIMEOUT_MS = 3_000
 
-/** The weight store over HTTP. */
+/** Client for the weight store over HTTP. */
 export class HttpWeightStore extends WeightStore {
   constructor (private readonly opts: { address: string }) {
     super()
--- a/backend/http/src/OwnRoutedProtocol.ts
+++ b/backend/http/src/OwnRoutedProtocol.ts
@@ -6,19 +6,19 @@
 
 const DEADLINE_HEADER = 'pulleystack-deadline-ms'
 const LAST_EVENT_HEADER = 'last-event-id'
-const REFUSED = 503
-/** Written anew, or the caller's secret. */
-const LEFT_OUT = new Set([DEADLINE_HEADER, 'authorization', 'content-length', 'expect'])
-const LEFT_OUT_ON_RELAY = new Set([DEADLINE_HEADER, 'content-length', 'expect'])
-const LEFT_OUT_ON_RESUME = new Set([...LEFT_OUT, LAST_EVENT_HEADER])
+const SERVICE_UNAVAILABLE = 503
+/** Headers that the system sets itself, and the caller's credentials. */
+const NOT_FORWARDED = new Set([DEADLINE_HEADER, 'authorization', 'content-length', 'expect'])
+const NOT_RELAYED = new Set([DEADLINE_HEADER, 'content-length', 'expect'])
+const NOT_FORWARDED_ON_RESUME = new Set([...NOT_FORWARDED, LAST_EVENT_HEADER])
 
-/** Gives a routed request the id that its backend server must send back. */
+/** Adds the attempt id to a routed request. The backend server must return it with its response. */
 export function assignAttempt (request: IncomingMessage, attempt: string): void {
   request.headers[ATTEMPT_HEADER] = attempt
   request.rawHeaders.push(ATTEMPT_HEADER, attempt)
 }
 
-/** The product's own marks on routed requests: the same headers as for plain services. */
+/** The default protocol for routed requests, with the same headers as for plain services. */
 export class OwnRoutedProtocol extends RoutedProtocol {
   override readRequest (headers: IncomingHttpHeaders): RoutedRequestFacts {
     const waitMs = Number(headers[DEADLINE_HEADER])
@@ -31,7 +31,7 @@
   }
 
   override buildForwardHeaders (rawHeaders: readonly string[], context: ForwardContext): string[] {
-    const headers = listEndToEnd(rawHeaders, context.lastEventId === undefined ? LEFT_OUT : LEFT_OUT_ON_RESUME)
+    const headers = listEndToEnd(rawHeaders, context.lastEventId === undefined ? NOT_FORWARDED : NOT_FORWARDED_ON_RESUME)
     headers.push(DEADLINE_HEADER, String(context.waitMs))
     if (context.lastEventId !== undefined) headers.push(LAST_EVENT_HEADER, context.lastEventId)
     if (context.bodyBytes !== undefined) headers.push('content-length', String(context.bodyBytes))
@@ -39,15 +39,15 @@
   }
 
   override buildRelayHeaders (rawHeaders: readonly string[], waitMs: number | undefined): string[] {
-    const headers = listEndToEnd(rawHeaders, LEFT_OUT_ON_RELAY)
+    const headers = listEndToEnd(rawHeaders, NOT_RELAYED)
     if (waitMs !== undefined) headers.push(DEADLINE_HEADER, String(waitMs))
     return headers
   }
 
   override readAnswer (status: number, headers: IncomingHttpHeaders): AnswerFacts {
     const requestId = readText(headers[ATTEMPT_HEADER])
-    const notRun = status === REFUSED && headers[RAN_HEADER] === Ran.NO
-    return { requestId, signed: requestId !== undefined, notRun, statement: status === REFUSED ? readRest(headers) : undefined }
+    const notRun = status === SERVICE_UNAVAILABLE && headers[RAN_HEADER] === Ran.NO
+    return { requestId, signed: requestId !== undefined, notRun, statement: status === SERVICE_UNAVAILABLE ? readBackoffRequest(headers) : undefined }
   }
 
   override buildOwnHeaders (): Record<string, string> {
@@ -55,8 +55,8 @@
   }
 }
 
-/** The rest that a server asks for by the header that HTTP has for it; undefined when it asks for none. */
-function readRest (headers: IncomingHttpHeaders): ServerStatement | undefined {
+/** Reads the pause that a server requests by a Retry-After header; undefined if it requests none. */
+function readBackoffRequest (headers: IncomingHttpHeaders): ServerStatement | undefined {
   const value = headers['retry-after']
   if (value === undefined) return undefined
   const retryAfterMs = parseRetryAfter(value, headers.date)
--- a/backend/http/src/exchange.ts
+++ b/backend/http/src/exchange.ts
@@ -13,7 +13,7 @@
   timeoutMs?: number
   signal?: AbortSignal
   agent?: http.Agent
-  /** Throws away what the kernel has not sent yet, so that nothing arrives long after the timeout. */
+  /** Resets the connection on timeout. This discards unsent data, which could otherwise arrive long after the timeout. */
   resetOnTimeout?: boolean
 }
 
@@ -23,12 +23,12 @@
   body: Buffer
 }
 
-/** Opens a request; the error says `ran: no` only when no connection came about, so that nothing was received. */
+/** Sends a request and resolves with the head of its response. Errors have `ran: no` only if no connection was established. */
 export function openExchange (opts: ExchangeOptions, writeBody: (request: http.ClientRequest) => void): Promise<http.IncomingMessage> {
   return new Promise((resolve, reject) => {
     const { host, port } = parseAddress(opts.address)
     const request = http.request({ host, port, method: opts.method, path: opts.path, headers: opts.headers, agent: opts.agent })
-    const release = destroyOnAbort(request, opts.signal)
+    const removeAbortListener = destroyOnAbort(request, opts.signal)
     let connected = false
     request.on('socket', (socket) => {
       connected = !socket.connecting
@@ -38,11 +38,11 @@
       })
     })
     request.on('response', (response) => {
-      // An abort may come while nobody reads; the reader sees the error all the same.
+      // Prevents an uncaught error if the request is aborted before the body is read. A reader still gets the error.
       response.on('error', () => undefined)
       resolve(response)
     })
-    request.on('close', release)
+    request.on('close', removeAbortListener)
     request.on('error', (cause) => reject(createExchangeError(opts.address, connected, cause)))
     if (opts.timeoutMs !== undefined) {
       request.setTimeout(opts.timeoutMs, () => {
@@ -54,7 +54,7 @@
   })
 }
 
-// Node's own `signal` option costs several listeners and an error object for each request.
+// Cheaper than Node's `signal` option, which adds several listeners and an error object to each request.
 function destroyOnAbort (request: http.ClientRequest, signal: AbortSignal | undefined): () => void {
   if (!signal) return () => undefined
   const destroy = (): void => {
@@ -65,7 +65,7 @@
   return () => signal.removeEventListener('abort', destroy)
 }
 
-/** One whole exchange with a small answer. */
+/** Sends a request and reads the whole response, which must not be large. */
 export async function exchange (opts: ExchangeOptions): Promise<ExchangeAnswer> {
   const response = await openExchange(opts, (request) => request.end(opts.body))
   const chunks: Buffer[] = []
@@ -73,7 +73,7 @@
   try {
     for await (const chunk of response as AsyncIterable<Buffer>) {
       size += chunk.length
-      if (size > MAX_ANSWER_BYTES) throw new Error('answer is too large')
+      if (size > MAX_ANSWER_BYTES) throw new Error('response is too large')
       chunks.push(chunk)
     }
   } catch (cause) {
@@ -82,17 +82,17 @@
   return { status: response.statusCode ?? 0, headers: response.headers, body: Buffer.concat(chunks) }
 }
 
-/** Reads an answer's JSON; an answer that isn't JSON is the platform's fault, not ours. */
+/** Parses the JSON body of a response; throws STORE_ANSWER_INVALID if it isn't JSON. */
 export function parseJson<T> (body: Buffer): T {
   try {
     return JSON.parse(body.toString()) as T
   } catch (cause) {
-    throw new PulleystackError('STORE_ANSWER_INVALID', 'An answer is not JSON', { cause })
+    throw new PulleystackError('STORE_ANSWER_INVALID', 'The response is not valid JSON', { cause })
   }
 }
 
 function createExchangeError (address: string, connected: boolean, cause: unknown): PulleystackError {
   const reason = cause instanceof Error ? cause.message : String(cause)
-  if (connected) return new PulleystackError('ATTEMPT_FAILED_UNKNOWN', `${address} was lost during the exchange: ${reason}`, { ran: Ran.UNKNOWN, cause })
-  return new PulleystackError('ATTEMPT_FAILED_NOT_RUN', `${address} cannot be reached: ${reason}`, { ran: Ran.NO, cause })
+  if (connected) return new PulleystackError('ATTEMPT_FAILED_UNKNOWN', `The connection to ${address} failed: ${reason}`, { ran: Ran.UNKNOWN, cause })
+  return new PulleystackError('ATTEMPT_FAILED_NOT_RUN', `Cannot connect to ${address}: ${reason}`, { ran: Ran.NO, cause })
 }
--- a/backend/http/src/wire.ts
+++ b/backend/http/src/wire.ts
@@ -1,6 +1,6 @@
 import type { GenerateEnd, GeneratedToken, StoreChange, StoredObject } from '@pulleystack/backend.interfaces'
 
-/** Paths of the platform's and the engines' HTTP interfaces. */
+/** Paths of the HTTP APIs of the platform and the engines. */
 export const Paths = {
   OBJECTS: '/objects',
   WATCH: '/watch',
@@ -14,11 +14,11 @@
   ORDERS: '/orders',
 } as const
 
-/** Header that carries an attempt's id to a backend server and back. */
+/** Header with the id of an attempt, in requests to backend servers and in their responses. */
 export const ATTEMPT_HEADER = 'pulleystack-attempt'
-/** Header by which a plain service that refuses a call says that it did not run. */
+/** Response header by which a plain service that rejects a call reports whether it ran. */
 export const RAN_HEADER = 'pulleystack-ran'
-/** Header with an object's version, both ways. */
+/** Header with an object's version, in requests and responses. */
 export const VERSION_HEADER = 'object-version'
 
 export interface ListAnswer {
@@ -31,7 +31,7 @@
   version: number
 }
 
-/** One line of a generation stream. */
+/** A line of a generation stream: a token, the end, or the id of the attempt. */
 export type GenerateLine = { t: [offset: number, text: string] } | { end: Omit<GenerateEnd, 'attempt'> } | { attempt: string }
 
 export type { GeneratedToken }
--- a/backend/http/test/OwnRoutedProtocol.test.ts
+++ b/backend/http/test/OwnRoutedProtocol.test.ts
@@ -4,17 +4,17 @@
 
 const PROTOCOL = new OwnRoutedProtocol()
 
-describe('an answer of a plain backend server on the product\'s own routes', () => {
-  it('says nothing of the server unless it refuses', () => {
+describe('OwnRoutedProtocol.readAnswer', () => {
+  it('reports a status of the server only for a 503 response with Retry-After', () => {
     assert.equal(PROTOCOL.readAnswer(200, { 'retry-after': '3' }).statement, undefined)
     assert.equal(PROTOCOL.readAnswer(503, {}).statement, undefined)
   })
 
-  it('says for how long the server wants nothing, when it refuses', () => {
+  it('reads the requested pause from Retry-After', () => {
     assert.equal(PROTOCOL.readAnswer(503, { 'retry-after': '3' }).statement?.retryAfterMs, 3_000)
   })
 
-  it('says what could not be read, shortened', () => {
+  it('reports an invalid Retry-After header, truncated', () => {
     const { statement } = PROTOCOL.readAnswer(503, { 'retry-after': 'x'.repeat(1_000) })
     assert.equal(statement?.retryAfterMs, undefined)
     assert.match(statement?.unreadable ?? '', /^retry-after: x{64}$/)
--- a/backend/interfaces/src/EngineClient.ts
+++ b/backend/interfaces/src/EngineClient.ts
@@ -1,15 +1,15 @@
 import type { PulleystackError } from '@pulleystack/core.errors'
 import type { Result } from 'neverthrow'
 
-/** What occupies accelerator memory: a model's version, or an adapter beside its base. */
+/** An item in accelerator memory: a version of a model, or an adapter loaded in addition to its base model. */
 export interface ResidentItem {
-  /** partner/model@version or partner/adapter. */
+  /** `partner/model@version` or `partner/adapter`. */
   item: string
   bytes: number
   state: 'loading' | 'ready'
 }
 
-/** A change in the engine's prefix cache; `seq` counts without gaps where it is sent. */
+/** A change in the engine's prefix cache. The engine numbers its events by `seq` without gaps. */
 export interface CacheEvent {
   seq: number
   kind: 'stored' | 'evicted' | 'cleared'
@@ -17,13 +17,13 @@
   blocks: number[]
 }
 
-/** The engine's report about itself; it lags. */
+/** An engine's report of its state, which may be out of date by `ageMs`. */
 export interface EngineReport {
-  /** Increases with every report of one engine life. */
+  /** Increases with each report of one engine process. */
   seq: number
-  /** Changes when the engine restarted. */
+  /** Identifies the engine's process; changes on restart. */
   life: string
-  /** Age of the figures in milliseconds, when sent. */
+  /** Age of the data in milliseconds at the time of sending. */
   ageMs: number
   running: number
   waiting: number
@@ -35,28 +35,28 @@
   cacheSeq: number
 }
 
-/** What is resident now, as the engine itself counts. */
+/** The items in an engine's memory, as counted by the engine. */
 export interface EngineInventory {
   life: string
-  /** Age of the figures in milliseconds, when sent. */
+  /** Age of the data in milliseconds at the time of sending. */
   ageMs: number
   items: ResidentItem[]
   freeBytes: number
 }
 
-/** An order to change what is resident. */
+/** An order to load or unload an item. */
 export interface EngineOrder {
   order: string
   action: 'load' | 'unload'
   item: string
   weights: string
   bytes: number
-  /** Fence of the placement shard's holder; engines that check refuse an older one. */
+  /** Fence of the instance that holds the placement shard. Engines that check fences reject older ones. */
   fence: number
   sequence: number
-  /** Milliseconds after which an engine that receives the order late must refuse it. */
+  /** Milliseconds after which an engine must reject the order. */
   expiresInMs: number
-  /** Wall time after which it is void, for engines with a clock in step. */
+  /** Wall time (milliseconds since the Unix epoch) at which the order expires, for engines with a synchronized clock. */
   expiresAt: number
 }
 
@@ -66,37 +66,37 @@
   adapter?: string
   prompt: string
   maxTokens: number
-  /** 0 goes first. */
+  /** 0 is the most urgent. */
   priority: number
-  /** Tokens already received; generation goes on after them. */
+  /** Number of tokens already received, after which generation continues. */
   offset: number
-  /** Text already received, when another engine goes on with an answer. */
+  /** Text already received, if another engine began the answer. */
   continuation?: string
 }
 
-/** A piece of an answer, as the engine numbers it. */
+/** A generated token. */
 export interface GeneratedToken {
   attempt: string
-  /** Index of the token, from 0. */
+  /** Index of the token in the answer, from 0. */
   offset: number
   text: string
 }
 
-/** How an answer ended. */
+/** The end of a generated answer. */
 export interface GenerateEnd {
   attempt: string
   finish: 'stop' | 'length'
   tokens: number
 }
 
-/** Takes each token as it comes. A promise holds the stream back until it settles; an error ends the stream with it. */
+/** Receives each token as it arrives. A returned promise pauses the stream until it settles; a thrown error ends the stream. */
 export type TokenSink = (token: GeneratedToken) => void | Promise<void>
 
-/** One model engine. Failures carry in `ran` whether the engine may have acted. */
+/** Client for model engines. The `ran` of an error tells whether the engine may have acted on the request. */
 export abstract class EngineClient {
-  /** Starts generation and resolves with its end; rejects with a PulleystackError when the stream breaks. */
+  /** Starts generation and resolves when it ends. Rejects with a PulleystackError if the stream fails. */
   abstract generate (address: string, call: GenerateCall, sink: TokenSink, signal: AbortSignal): Promise<GenerateEnd>
-  /** Goes on with a stream of the same attempt after it broke. */
+  /** Continues the interrupted stream of an attempt from a token offset. */
   abstract resume (address: string, attempt: string, offset: number, sink: TokenSink, signal: AbortSignal): Promise<GenerateEnd>
   abstract cancel (address: string, attempt: string): Promise<void>
   abstract readReport (address: string, afterSeq: number, waitMs: number, signal?: AbortSignal): Promise<Result<EngineReport, PulleystackError>>
--- a/backend/interfaces/src/InstanceList.ts
+++ b/backend/interfaces/src/InstanceList.ts
@@ -1,28 +1,28 @@
 import type { PulleystackError } from '@pulleystack/core.errors'
 import type { Result } from 'neverthrow'
 
-/** What an instance in the platform's list does. */
+/** The role of an instance in the platform's list. */
 export const InstanceRoles = { ENTRY: 'entry', ENGINE: 'engine', PLAIN: 'plain' } as const
 export type InstanceRole = typeof InstanceRoles[keyof typeof InstanceRoles]
 
-/** One instance as the platform lists it; the list lags by seconds. */
+/** An entry of the platform's instance list, which may be out of date by seconds. */
 export interface ListedInstance {
   id: string
   role: InstanceRole
-  /** host:port. */
+  /** `host:port`. */
   address: string
   region: string
   dataHall: string
   leaving: boolean
-  /** Labels that the platform gives. */
+  /** Labels assigned by the platform. */
   labels: Record<string, string>
   /** Engines: accelerator memory in bytes. */
   memoryBytes?: number
-  /** Engines: whether fences of orders are checked. */
+  /** Engines: whether the engine checks the fences of orders. */
   checksFences?: boolean
   /** Entry instances: port for peers. */
   peerAddress?: string
-  /** Plain servers: the service names they offer, as partner/name. */
+  /** Plain servers: names of the services they offer, as `partner/name`. */
   services?: string[]
 }
 
--- a/backend/interfaces/src/ObjectStore.ts
+++ b/backend/interfaces/src/ObjectStore.ts
@@ -2,46 +2,46 @@
 import type { Result } from 'neverthrow'
 import { StoreEpochs } from './StoreEpochs.js'
 
-/** A value of the object API with its version. Versions count up over all objects and epochs of the store (`buildVersion`). */
+/** An object of the object API. Versions increase across all objects and epochs of the store, see `buildVersion`. */
 export interface StoredObject {
   key: string
   version: number
   value: unknown
 }
 
-/** One change as a watch reports it; `value` is undefined when the object was deleted. */
+/** A change reported by a watch. `value` is undefined if the object was deleted. */
 export interface StoreChange {
   key: string
   version: number
   value: unknown
 }
 
-/** All objects under a prefix as of one version. */
+/** All objects under a prefix at one version. */
 export interface StoreListing {
   objects: StoredObject[]
   version: number
 }
 
-/** Changes after the version asked for, up to `version`. */
+/** Changes after the requested version, up to and including `version`. */
 export interface ChangeBatch {
   changes: StoreChange[]
   version: number
 }
 
 /**
- * The platform's object API. A write that fails with STORE_OUTCOME_UNKNOWN may have taken effect;
- * STORE_UNAVAILABLE is said only when it did not, STORE_CONFLICT when the version differed. STORE_RESTORED: it took effect, though the expected version is
- * of an epoch that has ended; what it replaced is not known.
+ * The platform's object API. A write that fails with STORE_OUTCOME_UNKNOWN may have taken effect; one with STORE_UNAVAILABLE, or with
+ * STORE_CONFLICT (another version than expected), did not. STORE_RESTORED means that it took effect, but the expected version is of an earlier
+ * epoch, so it is unknown what the write replaced.
  */
 export abstract class ObjectStore {
-  /** Epochs of the store; a store that names none stays in its first one. */
+  /** Epochs of the store. A store that reports none remains in its first one. */
   readonly epochs = new StoreEpochs()
 
   abstract readObject (key: string): Promise<Result<StoredObject | undefined, PulleystackError>>
   abstract listObjects (prefix: string): Promise<Result<StoreListing, PulleystackError>>
-  /** Writes when the object has `expectedVersion`, 0 meaning that it does not exist; gives the new version. */
+  /** Writes an object if it has `expectedVersion` (0: it must not exist). Returns the new version. */
   abstract writeObject (key: string, value: unknown, expectedVersion: number): Promise<Result<number, PulleystackError>>
   abstract deleteObject (key: string, expectedVersion: number): Promise<Result<number, PulleystackError>>
-  /** Waits up to `waitMs` for changes under the prefix after a version; STORE_COMPACTED asks for a new listing. */
+  /** Waits up to `waitMs` milliseconds for changes under the prefix after a version. STORE_COMPACTED means that the caller must list the objects again. */
   abstract waitForChanges (prefix: string, afterVersion: number, waitMs: number, signal?: AbortSignal): Promise<Result<ChangeBatch, PulleystackError>>
 }
--- a/backend/interfaces/src/RoutedProtocol.ts
+++ b/backend/interfaces/src/RoutedProtocol.ts
@@ -1,76 +1,76 @@
 import type { IncomingHttpHeaders } from 'node:http'
 import type { ServerStatement } from './ServerStatement.js'
 
-/** One part of a prompt; parts with the same id have the same text. */
+/** A part of a prompt. Parts with the same id have the same text. */
 export interface RoutedPromptPart {
   id: string
   tokens: number
 }
 
-/** Generation that a routed request asks for. */
+/** The text generation that a routed request asks for. */
 export interface RoutedGeneration {
   model: string
   adapter: string | undefined
   promptTokens: number
-  /** Most tokens that may come out. */
+  /** Maximum number of output tokens. */
   maxOutputTokens: number
-  /** The client's guess of the tokens that come out; right in the median only. */
+  /** The client's estimate of the output tokens; accurate only in the median. */
   outputHint: number | undefined
   parts: readonly RoutedPromptPart[]
 }
 
-/** What the headers of a routed request say. */
+/** Information from the headers of a routed request. */
 export interface RoutedRequestFacts {
   requestId: string | undefined
-  /** Milliseconds that the client will wait. */
+  /** Milliseconds that the client is willing to wait. */
   waitMs: number | undefined
   generation: RoutedGeneration | undefined
-  /** Newest event that the client has of a stream that is taken up again. */
+  /** Last event that the client received, if it resumes a stream. */
   lastEventId: string | undefined
-  /** Tokens in and out at the most that the request names; undefined when it names none. */
+  /** Maximum number of input and output tokens stated by the request; undefined if it states none. */
   tokens?: number
-  /** The access key that its caller shows. It stands in nothing that is logged or sent to a backend server. */
+  /** The caller's access key. It must not be logged or sent to a backend server. */
   accessKey?: string
 }
 
-/** What the system itself tells a backend server with a request. */
+/** Information that the system adds to a request for a backend server. */
 export interface ForwardContext {
-  /** The only server that may run it. */
+  /** The only server that may run the request. */
   backendId: string
-  /** Milliseconds left. */
+  /** Milliseconds left until the deadline. */
   waitMs: number
   /** 0 is the most urgent. */
   priority: number
-  /** Event after which a stream goes on. */
+  /** Event after which the stream resumes. */
   lastEventId: string | undefined
   bodyBytes: number | undefined
-  /** The team whose key the caller showed; undefined when none has it. */
+  /** The team that owns the caller's access key; undefined if no team does. */
   team?: string
-  /** The caller's access key is meant for the system alone and left out. */
+  /** The caller's access key is meant only for the system and is not forwarded. */
   hidesKey?: boolean
 }
 
-/** What the head of a backend server's answer says. */
+/** Information from the status and headers of a backend server's response. */
 export interface AnswerFacts {
   requestId: string | undefined
-  /** The server vouches that the answer is its own. */
+  /** The response has the header by which a server confirms that the response is its own. */
   signed: boolean
-  /** The server did not run the request and never will. */
+  /** The server did not run the request and will not run it later. */
   notRun: boolean
-  /** Another server than the one that was meant may have answered. */
+  /** A server other than the intended one may have responded. */
   misdirected?: boolean
-  /** What the server says of itself; undefined when it says nothing. */
+  /** The status that the server reports about itself; undefined if it reports none. */
   statement?: ServerStatement | undefined
 }
 
-/** How routed requests and their answers are marked; every platform has headers of its own. */
+/** The headers of routed requests and their responses, which differ between platforms. */
 export abstract class RoutedProtocol {
   abstract readRequest (headers: IncomingHttpHeaders): RoutedRequestFacts
-  /** Headers to the backend server, names and values by turns; all others of the client's travel along unchanged. */
+  /** Builds the raw headers for the backend server (alternating names and values). Other headers of the client are forwarded unchanged. */
   abstract buildForwardHeaders (rawHeaders: readonly string[], context: ForwardContext): string[]
-  /** Headers to another instance that answers in place of this one: the client's own with the milliseconds that are left, if it named any. */
+  /** Builds the raw headers for an instance to which the request is relayed: the client's headers, with the remaining milliseconds if it set a deadline. */
   abstract buildRelayHeaders (rawHeaders: readonly string[], waitMs: number | undefined): string[]
   abstract readAnswer (status: number, headers: IncomingHttpHeaders): AnswerFacts
-  /** Headers of an answer that the system gives itself. */
+  /** Builds the headers of a response generated by the system itself. */
   abstract buildOwnHeaders (requestId: string | undefined): Record<string, string>
 }
--- a/backend/interfaces/src/ServerStatement.ts
+++ b/backend/interfaces/src/ServerStatement.ts
@@ -1,15 +1,15 @@
-/** What a backend server says of itself beside its answer, to whichever request, report or order. */
+/** The status that a backend server reports about itself in a response to any request, report or order. */
 export interface ServerStatement {
-  /** Id of the server that says it; undefined where it doesn't name itself. */
+  /** Id of the server; undefined if the response doesn't contain it. */
   serverId: string | undefined
-  /** It leaves and takes no new requests. */
+  /** The server is draining and accepts no new requests. */
   leaving: boolean
-  /** Milliseconds for which it wants nothing more from this instance; undefined when it did not ask for that. */
+  /** Milliseconds for which this instance should send it no requests; undefined if it did not request a pause. */
   retryAfterMs: number | undefined
-  /** Whether the answer names a limit of requests, readable or not. */
+  /** Whether the response contains a request limit, valid or not. */
   namesLimit: boolean
-  /** Requests a second that it takes from all instances together; undefined when the answer names no limit that can be read. */
+  /** Requests per second that the server accepts from all instances together; undefined if the response contains no valid limit. */
   limitPerSecond: number | undefined
-  /** A value that says something of the server and can't be read, shortened; undefined when all could be. */
+  /** A status header that could not be parsed, truncated; undefined if all were valid. */
   unreadable: string | undefined
 }
--- a/backend/interfaces/src/StoreEpochs.ts
+++ b/backend/interfaces/src/StoreEpochs.ts
@@ -1,35 +1,35 @@
 import { Subject, type Observable } from 'rxjs'
 
-/** What was written this many milliseconds before a store came back is in its copy, which is some seconds old. */
+/** Writes older than this when a store is restored are contained in its snapshot, which is only some seconds old. */
 export const LONGEST_LOSS_MS = 60_000
 
-/** A store is in another epoch than this process knew. */
+/** A store has entered a newer epoch. */
 export interface EpochChange {
   epoch: number
-  /** Newest epoch seen before; undefined at the first answer. Otherwise the store came back from an older copy and has lost what it had acknowledged since. */
+  /** Newest epoch seen before; undefined for the first one. If set, the store was restored from a snapshot and lost the writes acknowledged since. */
   former: number | undefined
 }
 
-/** The epochs of one store that a process has seen, in whatever answer came first. */
+/** Tracks the epochs of a store that this process has seen. */
 export class StoreEpochs {
   private readonly subject = new Subject<EpochChange>()
-  private seen: number | undefined
+  private newestSeen: number | undefined
 
-  /** Newest epoch; undefined before the first answer. */
+  /** Newest epoch; undefined before the first response. */
   get newest (): number | undefined {
-    return this.seen
+    return this.newestSeen
   }
 
-  /** Tells of each newer epoch that is seen, and of the first one. */
+  /** Emits the first epoch and each newer one. */
   get changes (): Observable<EpochChange> {
     return this.subject
   }
 
-  /** Takes the epoch of an answer or of a version; older ones change nothing. */
+  /** Records the epoch of a response or a version. Older epochs are ignored. */
   note (epoch: number): void {
-    const former = this.seen
+    const former = this.newestSeen
     if (former !== undefined && epoch <= former) return
-    this.seen = epoch
+    this.newestSeen = epoch
     this.subject.next({ epoch, former })
   }
 }
--- a/backend/interfaces/src/WeightStore.ts
+++ b/backend/interfaces/src/WeightStore.ts
@@ -1,14 +1,14 @@
 import type { PulleystackError } from '@pulleystack/core.errors'
 import type { Result } from 'neverthrow'
 
-/** Limits of the weight store that loads must share. */
+/** Limits of the weight store, shared by all loads. */
 export interface WeightStoreLimits {
   loadsPerSecond: number
   loadsAtOnce: number
   bytesPerSecond: number
 }
 
-/** Where engines take weights from; the system only needs to know what it stands. */
+/** The store from which engines load weights. The system reads only its limits. */
 export abstract class WeightStore {
   abstract readLimits (): Promise<Result<WeightStoreLimits, PulleystackError>>
 }
--- a/backend/interfaces/src/WeightsClient.ts
+++ b/backend/interfaces/src/WeightsClient.ts
@@ -3,63 +3,64 @@
 import { Subject, type Observable } from 'rxjs'
 import type { ServerStatement } from './ServerStatement.js'
 
-/** What a model server says of its weights; it lags by a fraction of a second. */
+/** The weights of a model server as it reports them, out of date by a fraction of a second. */
 export interface WeightsState {
-  /** Orders taken since the server's start; an order may ask that it is still the same. */
+  /** Number of orders accepted since the server started. */
   sequence: number
-  /** An order is under way. */
+  /** An order is in progress. */
   busy: boolean
   models: readonly { name: string, adapters: readonly string[] }[]
-  /** Adapters on their way, as model/adapter. */
+  /** Adapters that are being loaded, as `model/adapter`. */
   comingAdapters: readonly string[]
-  /** Models of which copies lie in host memory or on disk. */
+  /** Models with a copy in host memory. */
   inMemory: readonly string[]
+  /** Models with a copy on disk. */
   onDisk: readonly string[]
 }
 
-/** An order to change what one server holds. */
+/** An order to load or unload a model or adapter on one server. */
 export interface WeightsOrder {
   action: 'load' | 'unload'
   model: string
   adapter: string | undefined
-  /** The server refuses the order when it has taken others since. */
+  /** The server rejects the order if its sequence is another one. */
   expectedSequence: number
   holder: string
   fence: number
 }
 
-/** What became of an order that was answered. */
+/** A server's response to an order. */
 export const OrderAnswers = {
-  /** It is being done. */
+  /** The order was accepted. */
   TAKEN: 'taken',
-  /** What it asks for is so already. */
+  /** The requested state already exists. */
   HOLDS: 'holds',
-  /** Another is under way, or the sequence differs. */
+  /** Another order is in progress, or the sequence differs. */
   CONFLICT: 'conflict',
-  /** The server knows no such order, is another one, or a newer holder ordered. */
+  /** The order is unknown, the server is another one, or a newer holder has sent an order. */
   REFUSED: 'refused',
 } as const
 export type OrderAnswer = typeof OrderAnswers[keyof typeof OrderAnswers]
 
-/** Address of one start of one server. */
+/** Address of one incarnation of a server. */
 export interface WeightsTarget {
   address: string
-  /** Only this one may answer. */
+  /** Only the server with this id may respond. */
   backendId: string
 }
 
-/** What a server said of itself in the answer to a report or an order. */
+/** A status that a server reported in its response to a report or an order. */
 export interface TargetStatement {
   target: WeightsTarget
   call: 'report' | 'order'
   statement: ServerStatement
 }
 
-/** Reads and changes what model servers hold. An error of `sendOrder` says by `ran` whether the order may still be carried out. */
+/** Reads and changes the weights of model servers. The `ran` of a `sendOrder` error tells whether the order may still be executed. */
 export abstract class WeightsClient {
   private readonly subject = new Subject<TargetStatement>()
 
-  /** What servers say of themselves in their answers, whatever the answers are. */
+  /** Emits the statuses that servers report, in successful and failed responses alike. */
   get statements (): Observable<TargetStatement> {
     return this.subject
   }
--- a/backend/interfaces/src/storeVersions.ts
+++ b/backend/interfaces/src/storeVersions.ts
@@ -1,23 +1,23 @@
-/** Revisions of one epoch: a store that makes 10,000 changes a second uses them up in 3.4 years. */
+/** Revisions in one epoch: enough for more than three years at 10,000 changes per second. */
 const REVISIONS_PER_EPOCH = 2 ** 40
 
-/** Highest epoch whose versions are still exact numbers. */
+/** Highest epoch whose versions are safe integers. */
 export const MAX_EPOCH = Math.floor(Number.MAX_SAFE_INTEGER / REVISIONS_PER_EPOCH)
 
 /**
- * The version of a revision. A store that comes back from an older copy counts its revisions on from that copy and begins another epoch; by the epoch
- * first and the revision second, versions keep the order in which the store made them.
+ * Builds a version that orders by epoch first and revision second. A store that is restored from an older snapshot continues with the revisions of the
+ * snapshot in a new epoch, so its versions still increase.
  */
 export function buildVersion (epoch: number, revision: number): number {
   return epoch * REVISIONS_PER_EPOCH + revision
 }
 
-/** The epoch of a version; 0 where the store names none. */
+/** Returns the epoch of a version; 0 if the store reports none. */
 export function readEpoch (version: number): number {
   return Math.floor(version / REVISIONS_PER_EPOCH)
 }
 
-/** The store's own number of a version. */
+/** Returns the store's revision of a version. */
 export function readRevision (version: number): number {
   return version % REVISIONS_PER_EPOCH
 }
--- a/backend/interfaces/src/watchObjects.ts
+++ b/backend/interfaces/src/watchObjects.ts
@@ -2,11 +2,11 @@
 import { Observable } from 'rxjs'
 import type { ChangeBatch, ObjectStore, StoreListing } from './ObjectStore.js'
 
-const WAIT_MS = 20_000
+const LONG_POLL_MS = 20_000
 const MIN_BACKOFF_MS = 200
 const MAX_BACKOFF_MS = 5_000
 
-/** What a watch emits: a whole listing first, after compaction and now and then, else batches of changes. */
+/** An item of a watch: a full listing at the start, after compaction and at regular intervals, otherwise a batch of changes or a failure. */
 export type WatchItem = { listing: StoreListing } | { batch: ChangeBatch } | { failed: true }
 
 export interface WatchOptions {
@@ -14,17 +14,17 @@
   clock: Clock
   random: RandomSource
   prefix: string
-  /** Milliseconds after which a listing mends what the watch may have left out. */
+  /** Interval in milliseconds between full listings, which correct changes that the watch missed. */
   getRelistMs: () => number
-  /** Milliseconds that one call may wait for a change. */
+  /** Maximum milliseconds that one call waits for a change. */
   waitMs?: number
-  /** Longest pause between failed calls. */
+  /** Maximum milliseconds between failed calls, before jitter. */
   maxBackoffMs?: number
-  /** Pause after a batch of changes, so that changes that come close together cost one call. */
+  /** Milliseconds to wait after a batch, so that changes in quick succession are fetched together. */
   settleMs?: number
 }
 
-/** Follows a prefix for ever: lists, waits for changes, lists again when the version was compacted, backs off with jitter on failure. */
+/** Watches a prefix until unsubscribed. Lists again if the version was compacted, and retries failed calls with jittered exponential backoff. */
 export function watchObjects (opts: WatchOptions): Observable<WatchItem> {
   return new Observable((subscriber) => {
     const abort = new AbortController()
@@ -40,16 +40,16 @@
   while (!signal.aborted) {
     if (opts.clock.readTime() - listedAt > opts.getRelistMs()) version = undefined
     if (version === undefined) listedAt = opts.clock.readTime()
-    const next = version === undefined ? await emitListing(opts, emit) : await emitChanges(opts, version, signal, emit)
+    const nextVersion = version === undefined ? await emitListing(opts, emit) : await emitChanges(opts, version, signal, emit)
     if (signal.aborted) return
-    if (next === 'failed') {
+    if (nextVersion === 'failed') {
       emit({ failed: true })
       await opts.clock.wait(backoff * (0.5 + opts.random.readFraction()), signal)
       backoff = Math.min(opts.maxBackoffMs ?? MAX_BACKOFF_MS, backoff * 2)
       continue
     }
     backoff = MIN_BACKOFF_MS
-    version = next
+    version = nextVersion
   }
 }
 
@@ -61,7 +61,7 @@
 }
 
 async function emitChanges (opts: WatchOptions, version: number, signal: AbortSignal, emit: (item: WatchItem) => void): Promise<number | undefined | 'failed'> {
-  const batch = await opts.store.waitForChanges(opts.prefix, version, opts.waitMs ?? WAIT_MS, signal)
+  const batch = await opts.store.waitForChanges(opts.prefix, version, opts.waitMs ?? LONG_POLL_MS, signal)
   if (batch.isErr()) return batch.error.code === 'STORE_COMPACTED' ? undefined : 'failed'
   emit({ batch: batch.value })
   if (opts.settleMs !== undefined && batch.value.changes.length > 0) await opts.clock.wait(opts.settleMs, signal)
