--- a/backend/http/src/HttpEngineClient.ts
+++ b/backend/http/src/HttpEngineClient.ts
@@ -18,11 +18,11 @@
   }
 
   generate (address: string, call: GenerateCall, sink: TokenSink, signal: AbortSignal): Promise<GenerateEnd> {
-    return this.stream(address, Paths.GENERATE, { attempt: call.attempt, body: JSON.stringify(call), sink, signal })
+    return this.streamTokens(address, Paths.GENERATE, { attempt: call.attempt, body: JSON.stringify(call), sink, signal })
   }
 
   resume (address: string, attempt: string, offset: number, sink: TokenSink, signal: AbortSignal): Promise<GenerateEnd> {
-    return this.stream(address, Paths.RESUME, { attempt, body: JSON.stringify({ attempt, offset }), sink, signal })
+    return this.streamTokens(address, Paths.RESUME, { attempt, body: JSON.stringify({ attempt, offset }), sink, signal })
   }
 
   async cancel (address: string, attempt: string): Promise<void> {
@@ -31,11 +31,11 @@
   }
 
   async readReport (address: string, afterSeq: number, waitMs: number, signal?: AbortSignal): Promise<Result<EngineReport, PulleystackError>> {
-    return this.read<EngineReport>(address, `${Paths.REPORT}?after=${afterSeq}&wait=${waitMs}`, waitMs + TIMEOUT_MS, signal)
+    return this.readJson<EngineReport>(address, `${Paths.REPORT}?after=${afterSeq}&wait=${waitMs}`, waitMs + TIMEOUT_MS, signal)
   }
 
   async readInventory (address: string): Promise<Result<EngineInventory, PulleystackError>> {
-    return this.read<EngineInventory>(address, Paths.INVENTORY, TIMEOUT_MS)
+    return this.readJson<EngineInventory>(address, Paths.INVENTORY, TIMEOUT_MS)
   }
 
   async sendOrder (address: string, order: EngineOrder): Promise<Result<void, PulleystackError>> {
@@ -50,7 +50,7 @@
     }
   }
 
-  private async read<T> (address: string, path: string, timeoutMs: number, signal?: AbortSignal): Promise<Result<T, PulleystackError>> {
+  private async readJson<T> (address: string, path: string, timeoutMs: number, signal?: AbortSignal): Promise<Result<T, PulleystackError>> {
     try {
       const answer = await exchange({ address, method: 'GET', path, agent: this.agent, timeoutMs, signal })
       if (answer.status !== 200) return err(new PulleystackError('BACKEND_REFUSED', `${address} responded to ${path} with status ${answer.status}`))
@@ -60,7 +60,7 @@
     }
   }
 
-  private async stream (
+  private async streamTokens (
     address: string,
     path: string,
     opts: { attempt: string, body: string, sink: TokenSink, signal: AbortSignal },
--- a/backend/interfaces/src/StoreEpochs.ts
+++ b/backend/interfaces/src/StoreEpochs.ts
@@ -1,6 +1,6 @@
 import { Subject, type Observable } from 'rxjs'
 
-/** Writes older than this when a store is restored are contained in its snapshot, which is only some seconds old. */
+/** A store that is restored from a snapshot contains all writes made longer than this before the restore. */
 export const LONGEST_LOSS_MS = 60_000
 
 /** A store has entered a newer epoch. */
--- a/backend/interfaces/src/watchObjects.ts
+++ b/backend/interfaces/src/watchObjects.ts
@@ -27,9 +27,9 @@
 /** Watches a prefix until unsubscribed. Lists again if the version was compacted, and retries failed calls with jittered exponential backoff. */
 export function watchObjects (opts: WatchOptions): Observable<WatchItem> {
   return new Observable((subscriber) => {
-    const abort = new AbortController()
-    void followPrefix(opts, abort.signal, (item) => subscriber.next(item))
-    return () => abort.abort()
+    const controller = new AbortController()
+    void followPrefix(opts, controller.signal, (item) => subscriber.next(item))
+    return () => controller.abort()
   })
 }
 
