--- a/emulator/stand-ins/src/BatchModel.ts
+++ b/emulator/stand-ins/src/BatchModel.ts
@@ -4,13 +4,13 @@
 
 export interface BatchOptions {
   clock: Clock
-  /** Requests that run at once. */
+  /** Maximum number of concurrent requests. */
   slots: number
   /** Milliseconds to prefill a block that is not cached. */
   prefillMsPerBlock: number
-  /** Milliseconds between tokens with one request running. */
+  /** Milliseconds between tokens while a single request is running. */
   tokenMs: number
-  /** Further milliseconds between tokens for each other request running. */
+  /** Additional milliseconds between tokens for each other running request. */
   batchMsPerRequest: number
   cacheBlocks: number
 }
@@ -18,7 +18,7 @@
 export interface BatchRequest {
   attempt: string
   blocks: number[]
-  /** Tokens to generate; the offset says where it begins. */
+  /** Length of the answer in tokens; generation begins at `offset`. */
   tokens: number
   offset: number
   priority: number
@@ -30,11 +30,11 @@
   cancelTimer: () => void
 }
 
-/** Timing of an engine with continuous batching and a prefix cache of limited size. */
+/** Simulates the timing of an engine with continuous batching and a prefix cache of limited size. */
 export class BatchModel {
-  /** Multiplies every duration; a sick engine has a large one. */
+  /** Factor for all durations; raise it to simulate a slow engine. */
   slowdown = 1
-  /** Attempts ever started; more than once for one id would be a second run. */
+  /** Ids of all attempts started at offset 0. An id that occurs twice was run twice. */
   readonly started: string[] = []
   private readonly running = new Map<string, RunningRequest>()
   private waiting: BatchRequest[] = []
@@ -71,14 +71,14 @@
     this.startWaiting()
   }
 
-  /** Cache events since the last call. */
+  /** Returns the cache events since the last call. */
   takeCacheEvents (): CacheEvent[] {
     const events = this.events
     this.events = []
     return events
   }
 
-  /** Blocks cached now, for resynchronisation. */
+  /** Returns all cached blocks, for resynchronization. */
   listCached (): number[] {
     return [...this.cache.keys()]
   }
@@ -92,15 +92,15 @@
   }
 
   private startWaiting (): void {
-    while (this.running.size < this.opts.slots && this.waiting.length > 0) this.start(this.waiting.shift() as BatchRequest)
+    while (this.running.size < this.opts.slots && this.waiting.length > 0) this.startRequest(this.waiting.shift() as BatchRequest)
   }
 
-  private start (request: BatchRequest): void {
+  private startRequest (request: BatchRequest): void {
     if (request.offset === 0) this.started.push(request.attempt)
-    const missing = request.blocks.filter((block) => this.cache.get(block) === undefined)
-    for (const block of missing) this.cache.set(block, true)
-    if (missing.length > 0) this.recordCache('stored', missing)
-    const prefillMs = missing.length * this.opts.prefillMsPerBlock
+    const uncached = request.blocks.filter((block) => this.cache.get(block) === undefined)
+    for (const block of uncached) this.cache.set(block, true)
+    if (uncached.length > 0) this.recordCache('stored', uncached)
+    const prefillMs = uncached.length * this.opts.prefillMsPerBlock
     const running: RunningRequest = { ...request, cancelTimer: () => undefined }
     this.running.set(request.attempt, running)
     this.scheduleToken(running, request.offset, prefillMs)
--- a/emulator/stand-ins/src/EngineMemory.ts
+++ b/emulator/stand-ins/src/EngineMemory.ts
@@ -2,39 +2,39 @@
 import type { EngineOrder, ResidentItem } from '@pulleystack/backend.interfaces'
 import type { WeightGate } from './WeightGate.js'
 
-/** What goes wrong with orders to one engine. */
+/** Faults to inject into the handling of orders. */
 export interface EngineFaults {
-  /** The next so many orders vanish; the sender sees a broken connection. */
+  /** Number of next orders to drop; the sender sees a broken connection. */
   loseOrders: number
-  /** The next so many orders act at once, but their answer is lost. */
+  /** Number of next orders that are executed, but whose response is lost. */
   loseOrderAnswers: number
-  /** Orders act this much later than they are answered. */
+  /** Milliseconds between the response to an order and its execution. */
   orderDelayMs: number
-  /** The next so many orders act twice, the second time so much later. */
+  /** Number of next orders to execute twice, the second time after `repeatAfterMs` milliseconds. */
   repeatOrders: number
   repeatAfterMs: number
 }
 
-export const OrderOutcomes = { ACCEPTED: 'accepted', REFUSED: 'refused', LOST: 'lost' } as const
+export const OrderOutcomes = { ACCEPTED: 'accepted', REJECTED: 'refused', LOST: 'lost' } as const
 export type OrderOutcome = typeof OrderOutcomes[keyof typeof OrderOutcomes]
 
-interface HeldItem extends ResidentItem {
-  life: number
+interface MemoryItem extends ResidentItem {
+  incarnation: number
 }
 
 /**
- * An engine's accelerator memory. It counts every byte that orders make it hold and refuses nothing for lack of
- * room, so that `overcommitted` tells whether the system kept its promise.
+ * The accelerator memory of an engine. Loads are never rejected for lack of memory; `overcommitted` tells whether
+ * orders ever exceeded the capacity.
  */
 export class EngineMemory {
   readonly faults: EngineFaults = { loseOrders: 0, loseOrderAnswers: 0, orderDelayMs: 0, repeatOrders: 0, repeatAfterMs: 1 }
   overcommitted = false
-  highestUse = 0
+  peakUsedBytes = 0
   loads = 0
-  private readonly items = new Map<string, HeldItem>()
+  private readonly items = new Map<string, MemoryItem>()
   private fence = 0
   private sequence = 0
-  private life = 1
+  private incarnation = 1
 
   constructor (private readonly opts: { clock: Clock, memoryBytes: number, checksFences: boolean, gate?: WeightGate, unloadMs?: number }) {}
 
@@ -56,34 +56,34 @@
     return this.items.get(item)?.state === 'ready'
   }
 
-  /** Everything resident is gone, as after a restart. */
+  /** Clears the memory, as a restart of the engine does. */
   restart (): void {
-    this.life++
+    this.incarnation++
     this.items.clear()
     this.fence = 0
     this.sequence = 0
   }
 
-  /** Places an item without an order, for tests of routing alone. */
+  /** Adds an item without an order, for tests that need no placement. */
   placeItem (item: string, bytes: number): void {
-    this.items.set(item, { item, bytes, state: 'ready', life: this.life })
-    this.noteUse()
+    this.items.set(item, { item, bytes, state: 'ready', incarnation: this.incarnation })
+    this.recordUsage()
   }
 
-  /** Takes an order as it arrives; faults decide when and how often it acts. */
+  /** Handles an arriving order. The faults determine when and how often it is executed. */
   receiveOrder (order: EngineOrder): OrderOutcome {
-    if (takeOne(this.faults, 'loseOrders')) return OrderOutcomes.LOST
-    if (this.opts.checksFences && !this.acceptFence(order)) return OrderOutcomes.REFUSED
+    if (takeFault(this.faults, 'loseOrders')) return OrderOutcomes.LOST
+    if (this.opts.checksFences && !this.acceptFence(order)) return OrderOutcomes.REJECTED
     const { orderDelayMs } = this.faults
-    if (orderDelayMs > 0) this.opts.clock.setTimer(orderDelayMs, () => this.actLate(order))
-    else this.act(order)
-    if (takeOne(this.faults, 'repeatOrders')) this.opts.clock.setTimer(Math.max(orderDelayMs + 1, this.faults.repeatAfterMs), () => this.act(order))
-    return takeOne(this.faults, 'loseOrderAnswers') ? OrderOutcomes.LOST : OrderOutcomes.ACCEPTED
+    if (orderDelayMs > 0) this.opts.clock.setTimer(orderDelayMs, () => this.applyDelayedOrder(order))
+    else this.applyOrder(order)
+    if (takeFault(this.faults, 'repeatOrders')) this.opts.clock.setTimer(Math.max(orderDelayMs + 1, this.faults.repeatAfterMs), () => this.applyOrder(order))
+    return takeFault(this.faults, 'loseOrderAnswers') ? OrderOutcomes.LOST : OrderOutcomes.ACCEPTED
   }
 
-  private actLate (order: EngineOrder): void {
+  private applyDelayedOrder (order: EngineOrder): void {
     if (this.opts.checksFences && (order.fence < this.fence || this.faults.orderDelayMs > order.expiresInMs)) return
-    this.act(order)
+    this.applyOrder(order)
   }
 
   private acceptFence (order: EngineOrder): boolean {
@@ -94,42 +94,42 @@
     return true
   }
 
-  private act (order: EngineOrder): void {
+  private applyOrder (order: EngineOrder): void {
     if (order.action === 'load') this.startLoad(order)
     else this.startUnload(order)
   }
 
   private startLoad (order: EngineOrder): void {
     if (this.items.has(order.item)) return
-    const held: HeldItem = { item: order.item, bytes: order.bytes, state: 'loading', life: this.life }
-    this.items.set(order.item, held)
+    const loaded: MemoryItem = { item: order.item, bytes: order.bytes, state: 'loading', incarnation: this.incarnation }
+    this.items.set(order.item, loaded)
     this.loads++
-    this.noteUse()
-    void this.finishLoad(held)
+    this.recordUsage()
+    void this.finishLoad(loaded)
   }
 
-  private async finishLoad (held: HeldItem): Promise<void> {
-    await this.opts.gate?.load(held.bytes)
-    if (held.life === this.life && this.items.get(held.item) === held) held.state = 'ready'
+  private async finishLoad (loaded: MemoryItem): Promise<void> {
+    await this.opts.gate?.load(loaded.bytes)
+    if (loaded.incarnation === this.incarnation && this.items.get(loaded.item) === loaded) loaded.state = 'ready'
   }
 
   private startUnload (order: EngineOrder): void {
-    const held = this.items.get(order.item)
-    if (!held) return
+    const resident = this.items.get(order.item)
+    if (!resident) return
     const finish = (): void => {
-      if (this.items.get(order.item) === held) this.items.delete(order.item)
+      if (this.items.get(order.item) === resident) this.items.delete(order.item)
     }
     if (this.opts.unloadMs) this.opts.clock.setTimer(this.opts.unloadMs, finish)
     else finish()
   }
 
-  private noteUse (): void {
-    this.highestUse = Math.max(this.highestUse, this.usedBytes)
+  private recordUsage (): void {
+    this.peakUsedBytes = Math.max(this.peakUsedBytes, this.usedBytes)
     if (this.usedBytes > this.opts.memoryBytes) this.overcommitted = true
   }
 }
 
-function takeOne (faults: EngineFaults, name: 'loseOrders' | 'loseOrderAnswers' | 'repeatOrders'): boolean {
+function takeFault (faults: EngineFaults, name: 'loseOrders' | 'loseOrderAnswers' | 'repeatOrders'): boolean {
   if (faults[name] <= 0) return false
   faults[name]--
   return true
--- a/emulator/stand-ins/src/FakeEngine.ts
+++ b/emulator/stand-ins/src/FakeEngine.ts
@@ -8,41 +8,41 @@
 import { hashPromptBlocks } from './promptBlocks.js'
 import type { WeightGate } from './WeightGate.js'
 
-const KEPT_STREAMS = 1_000
+const MAX_STREAMS = 1_000
 
 export interface FakeEngineOptions extends Partial<BatchOptions> {
   clock: Clock
   memoryBytes: number
   checksFences?: boolean
   gate?: WeightGate
-  /** Reports show the state of so long ago. */
+  /** Age in milliseconds of the state shown by reports. */
   reportLagMs?: number
   port?: number
 }
 
-interface KeptStream {
+interface StreamState {
   call: GenerateCall
-  /** Tokens generated so far, by offset. */
+  /** Text of the tokens generated so far, by offset. */
   texts: string[]
   done: boolean
   listeners: Set<() => void>
 }
 
-/** A model engine on a loopback port. It answers each prompt with numbered words that name the prompt. */
+/** A fake model engine on a loopback port. It answers each prompt with the prompt's last word, repeated and numbered. */
 export class FakeEngine {
   readonly memory: EngineMemory
   readonly batch: BatchModel
-  /** Whole answers given, by attempt. */
+  /** Ids of the attempts that were generated to the end. */
   readonly finished: string[] = []
   readonly cancelled: string[] = []
-  /** Breaks the connection of the next so many streams after this many tokens. */
+  /** Breaks the connection of the next `count` streams after `afterTokens` tokens. */
   breakStreams = { count: 0, afterTokens: 3 }
-  refuseAll = false
-  private readonly streams = new Map<string, KeptStream>()
+  rejectAll = false
+  private readonly streams = new Map<string, StreamState>()
   private server: LoopbackServer | undefined
-  private reports: { at: number, report: Omit<EngineReport, 'ageMs' | 'cacheEvents' | 'cacheSeq'> }[] = []
+  private reports: { takenAt: number, report: Omit<EngineReport, 'ageMs' | 'cacheEvents' | 'cacheSeq'> }[] = []
   private reportSeq = 0
-  private life = 1
+  private incarnation = 1
 
   private constructor (private readonly opts: FakeEngineOptions) {
     const { clock } = opts
@@ -68,7 +68,7 @@
     return this.server?.address ?? ''
   }
 
-  /** Dies: every connection breaks and nothing is kept. */
+  /** Simulates a crash: breaks all connections and clears all state. */
   async kill (): Promise<void> {
     await this.server?.close()
     this.batch.reset()
@@ -76,11 +76,11 @@
     this.memory.restart()
   }
 
-  /** Comes back empty on the same port. */
+  /** Restarts the engine with empty state on the same port. */
   async restart (): Promise<void> {
     const port = Number(this.address.split(':')[1])
     await this.kill()
-    this.life++
+    this.incarnation++
     this.reports = []
     this.server = await listenLoopback((request, response) => void this.handle(request, response), port)
   }
@@ -92,7 +92,7 @@
       return
     }
     if (url.pathname === Paths.INVENTORY) {
-      answerJson(response, 200, { life: String(this.life), ageMs: 0, items: this.memory.listItems(), freeBytes: this.memory.freeBytes })
+      answerJson(response, 200, { life: String(this.incarnation), ageMs: 0, items: this.memory.listItems(), freeBytes: this.memory.freeBytes })
       return
     }
     const body = JSON.parse((await readWholeBody(request)).toString() || '{}') as unknown
@@ -112,11 +112,11 @@
     const now = this.opts.clock.readTime()
     const load = this.batch.load
     const memory = { items: this.memory.listItems(), freeBytes: this.memory.freeBytes }
-    this.reports.push({ at: now, report: { seq: ++this.reportSeq, life: String(this.life), ...load, ...memory } })
-    const shown = this.reports.findLastIndex((it) => it.at <= now - (this.opts.reportLagMs ?? 0))
-    if (shown > 0) this.reports = this.reports.slice(shown)
-    const first = this.reports[0] as FakeEngine['reports'][number]
-    return { ...first.report, ageMs: now - first.at, cacheEvents: this.batch.takeCacheEvents(), cacheSeq: this.batch.newestCacheSeq }
+    this.reports.push({ takenAt: now, report: { seq: ++this.reportSeq, life: String(this.incarnation), ...load, ...memory } })
+    const newestVisible = this.reports.findLastIndex((it) => it.takenAt <= now - (this.opts.reportLagMs ?? 0))
+    if (newestVisible > 0) this.reports = this.reports.slice(newestVisible)
+    const visible = this.reports[0] as FakeEngine['reports'][number]
+    return { ...visible.report, ageMs: now - visible.takenAt, cacheEvents: this.batch.takeCacheEvents(), cacheSeq: this.batch.newestCacheSeq }
   }
 
   private handleOrder (order: EngineOrder, response: http.ServerResponse): void {
@@ -127,12 +127,12 @@
 
   private handleGenerate (call: GenerateCall, response: http.ServerResponse): void {
     const ready = this.memory.isReady(call.item) && (!call.adapter || this.memory.isReady(call.adapter))
-    if (this.refuseAll || !ready) {
-      answerJson(response, this.refuseAll ? 503 : 404, {})
+    if (this.rejectAll || !ready) {
+      answerJson(response, this.rejectAll ? 503 : 404, {})
       return
     }
-    const kept: KeptStream = { call, texts: [], done: false, listeners: new Set() }
-    this.keepStream(call.attempt, kept)
+    const stream: StreamState = { call, texts: [], done: false, listeners: new Set() }
+    this.storeStream(call.attempt, stream)
     this.batch.submit({
       attempt: call.attempt,
       blocks: hashPromptBlocks(call.item, call.prompt),
@@ -140,21 +140,21 @@
       offset: call.offset,
       priority: call.priority,
       onToken: (offset) => {
-        kept.texts[offset] = buildWord(call, offset)
-        this.wake(kept)
+        stream.texts[offset] = buildTokenText(call, offset)
+        this.wakeListeners(stream)
       },
       onEnd: () => {
-        kept.done = true
+        stream.done = true
         this.finished.push(call.attempt)
-        this.wake(kept)
+        this.wakeListeners(stream)
       },
     })
-    this.sendStream(kept, call.offset, response)
+    this.sendStream(stream, call.offset, response)
   }
 
   private handleResume (call: { attempt: string, offset: number }, response: http.ServerResponse): void {
-    const kept = this.streams.get(call.attempt)
-    if (kept) this.sendStream(kept, call.offset, response)
+    const stream = this.streams.get(call.attempt)
+    if (stream) this.sendStream(stream, call.offset, response)
     else answerJson(response, 404, {})
   }
 
@@ -165,39 +165,39 @@
     answerJson(response, 200, {})
   }
 
-  private sendStream (kept: KeptStream, from: number, response: http.ServerResponse): void {
+  private sendStream (stream: StreamState, from: number, response: http.ServerResponse): void {
     response.writeHead(200, { 'content-type': 'application/x-ndjson' })
-    response.write(`${JSON.stringify({ attempt: kept.call.attempt })}\n`)
+    response.write(`${JSON.stringify({ attempt: stream.call.attempt })}\n`)
     const breakAfter = this.breakStreams.count > 0 ? this.breakStreams.afterTokens : Infinity
     if (breakAfter !== Infinity) this.breakStreams.count--
     let next = from
     const flush = (): void => {
-      while (kept.texts[next] !== undefined && next - from < breakAfter) {
-        response.write(`${JSON.stringify({ t: [next, kept.texts[next]] })}\n`)
+      while (stream.texts[next] !== undefined && next - from < breakAfter) {
+        response.write(`${JSON.stringify({ t: [next, stream.texts[next]] })}\n`)
         next++
       }
       if (next - from >= breakAfter) response.destroy()
-      else if (kept.done) response.end(`${JSON.stringify({ end: { finish: 'stop', tokens: kept.call.maxTokens } })}\n`)
+      else if (stream.done) response.end(`${JSON.stringify({ end: { finish: 'stop', tokens: stream.call.maxTokens } })}\n`)
     }
-    kept.listeners.add(flush)
-    response.on('close', () => kept.listeners.delete(flush))
+    stream.listeners.add(flush)
+    response.on('close', () => stream.listeners.delete(flush))
     flush()
   }
 
-  private wake (kept: KeptStream): void {
-    for (const listener of kept.listeners) listener()
+  private wakeListeners (stream: StreamState): void {
+    for (const listener of stream.listeners) listener()
   }
 
-  private keepStream (attempt: string, kept: KeptStream): void {
-    this.streams.set(attempt, kept)
-    if (this.streams.size <= KEPT_STREAMS) return
-    const oldest = [...this.streams].find(([, stream]) => stream.done)
+  private storeStream (attempt: string, stream: StreamState): void {
+    this.streams.set(attempt, stream)
+    if (this.streams.size <= MAX_STREAMS) return
+    const oldest = [...this.streams].find(([, candidate]) => candidate.done)
     if (oldest) this.streams.delete(oldest[0])
   }
 }
 
-/** The token of an answer: the prompt's last word, so that tests see whose answer it is, and the offset. */
-function buildWord (call: GenerateCall, offset: number): string {
+/** Builds a token from the last word of the prompt, by which tests identify the request, and the offset. */
+function buildTokenText (call: GenerateCall, offset: number): string {
   const name = call.prompt.trim().split(/\s+/).at(-1) ?? ''
   return `${name.slice(0, 24)}#${offset} `
 }
--- a/emulator/stand-ins/src/FakeService.ts
+++ b/emulator/stand-ins/src/FakeService.ts
@@ -3,16 +3,16 @@
 import { ATTEMPT_HEADER } from '@pulleystack/backend.http'
 import { listenLoopback, readWholeBody, type LoopbackServer } from './listenLoopback.js'
 
-/** A plain service: it echoes what it was sent and counts how often each piece of work ran. */
+/** A fake plain service. It responds with a summary of the request and counts how often each piece of work ran. */
 export class FakeService {
-  /** Runs by the header `work`, by which tests follow a piece of work over attempts. */
+  /** Number of runs by the value of the `work` header, by which tests track a piece of work across attempts. */
   readonly runs = new Map<string, number>()
   delayMs: number
-  /** The next so many calls run but their answer is lost. */
+  /** Number of next calls that run, but whose response is lost. */
   loseAnswers = 0
-  /** The next so many calls are refused before they run. */
+  /** Number of next calls to reject before they run. */
   refuse = 0
-  /** The next so many calls are answered as if for another attempt. */
+  /** Number of next calls to respond to with the id of another attempt. */
   mixUp = 0
   total = 0
   private server: LoopbackServer | undefined
@@ -50,23 +50,23 @@
       response.end()
       return
     }
-    this.count(request)
+    this.countRun(request)
     if (this.delayMs > 0) await this.opts.clock.wait(this.delayMs)
     if (this.loseAnswers > 0) {
       this.loseAnswers--
       response.destroy()
       return
     }
-    this.answer(request, response, body)
+    this.sendAnswer(request, response, body)
   }
 
-  private count (request: http.IncomingMessage): void {
+  private countRun (request: http.IncomingMessage): void {
     this.total++
     const work = request.headers['work']
     if (typeof work === 'string') this.runs.set(work, (this.runs.get(work) ?? 0) + 1)
   }
 
-  private answer (request: http.IncomingMessage, response: http.ServerResponse, body: Buffer): void {
+  private sendAnswer (request: http.IncomingMessage, response: http.ServerResponse, body: Buffer): void {
     const attempt = this.mixUp > 0 ? 'another' : request.headers[ATTEMPT_HEADER]
     if (this.mixUp > 0) this.mixUp--
     const text = JSON.stringify({ path: request.url, method: request.method, work: request.headers['work'], length: body.length })
--- a/emulator/stand-ins/src/MemoryObjectStore.ts
+++ b/emulator/stand-ins/src/MemoryObjectStore.ts
@@ -3,17 +3,17 @@
 import { ObjectStore, buildVersion, readEpoch, readRevision, type ChangeBatch, type StoreChange, type StoredObject, type StoreListing } from '@pulleystack/backend.interfaces'
 import { err, ok, type Result } from 'neverthrow'
 
-/** What goes wrong in the stand-in; fields may be changed at any time. */
+/** Faults to inject; fields may be changed at any time. */
 export interface StoreFaults {
   down: boolean
   delayMs: number
-  /** The next so many writes take effect, but their answer is lost. */
+  /** Number of next writes that take effect, but whose response is lost. */
   loseAnswers: number
-  /** The next so many writes are lost before they take effect, with an unknown outcome all the same. */
+  /** Number of next writes that have no effect, but fail with an unknown outcome. */
   loseWrites: number
-  /** Watches leave out every so-manieth change; 0 for none. */
+  /** Watches omit every `gapEvery`-th change; 0 for none. */
   gapEvery: number
-  /** Reverses the order of changes in a batch. */
+  /** Reverses the order of the changes in a batch. */
   reorder: boolean
 }
 
@@ -25,15 +25,15 @@
   writtenBytes: number
 }
 
-/** What the store holds at one moment. */
+/** A snapshot of the store. */
 export interface MemoryCopy {
   version: number
   objects: ReadonlyMap<string, { version: number, text: string }>
 }
 
-const LOG_LENGTH = 5_000
+const MAX_LOG_CHANGES = 5_000
 
-/** The object API in memory: versions, conditional updates, watches, compaction, returns from an older copy and faults on demand. */
+/** In-memory object API with versions, conditional writes, watches, compaction, restores from snapshots, and injected faults. */
 export class MemoryObjectStore extends ObjectStore {
   readonly faults: StoreFaults = { down: false, delayMs: 0, loseAnswers: 0, loseWrites: 0, gapEvery: 0, reorder: false }
   readonly counts: StoreCounts = { reads: 0, writes: 0, watches: 0, conflicts: 0, writtenBytes: 0 }
@@ -42,7 +42,7 @@
   private log: StoreChange[] = []
   private compactedThrough = 0
   private version = 0
-  private emitted = 0
+  private emittedChanges = 0
 
   constructor (private readonly opts: { clock: Clock }) {
     super()
@@ -54,53 +54,53 @@
 
   async readObject (key: string): Promise<Result<StoredObject | undefined, PulleystackError>> {
     this.counts.reads++
-    if (await this.isFailing()) return err(createUnavailable())
-    const held = this.objects.get(key)
-    return ok(held && { key, version: held.version, value: JSON.parse(held.text) as unknown })
+    if (await this.isFailing()) return err(createUnavailableError())
+    const stored = this.objects.get(key)
+    return ok(stored && { key, version: stored.version, value: JSON.parse(stored.text) as unknown })
   }
 
   async listObjects (prefix: string): Promise<Result<StoreListing, PulleystackError>> {
     this.counts.reads++
     const version = this.version
     const objects: StoredObject[] = []
-    for (const [key, held] of this.objects) {
-      if (key.startsWith(prefix)) objects.push({ key, version: held.version, value: JSON.parse(held.text) as unknown })
+    for (const [key, stored] of this.objects) {
+      if (key.startsWith(prefix)) objects.push({ key, version: stored.version, value: JSON.parse(stored.text) as unknown })
     }
-    if (await this.isFailing()) return err(createUnavailable())
+    if (await this.isFailing()) return err(createUnavailableError())
     return ok({ objects, version })
   }
 
   async writeObject (key: string, value: unknown, expectedVersion: number): Promise<Result<number, PulleystackError>> {
-    return this.change(key, JSON.stringify(value), expectedVersion)
+    return this.changeObject(key, JSON.stringify(value), expectedVersion)
   }
 
   async deleteObject (key: string, expectedVersion: number): Promise<Result<number, PulleystackError>> {
-    return this.change(key, undefined, expectedVersion)
+    return this.changeObject(key, undefined, expectedVersion)
   }
 
   async waitForChanges (prefix: string, afterVersion: number, waitMs: number, signal?: AbortSignal): Promise<Result<ChangeBatch, PulleystackError>> {
     this.counts.watches++
-    if (await this.isFailing()) return err(createUnavailable())
-    if (afterVersion < this.compactedThrough || afterVersion > this.version) return err(createCompacted(afterVersion))
+    if (await this.isFailing()) return err(createUnavailableError())
+    if (afterVersion < this.compactedThrough || afterVersion > this.version) return err(createCompactedError(afterVersion))
     if (this.listChanges(prefix, afterVersion).length === 0) await this.waitForWrite(prefix, afterVersion, waitMs, signal)
-    if (this.faults.down) return err(createUnavailable())
-    if (readEpoch(afterVersion) < readEpoch(this.version)) return err(createCompacted(afterVersion))
+    if (this.faults.down) return err(createUnavailableError())
+    if (readEpoch(afterVersion) < readEpoch(this.version)) return err(createCompactedError(afterVersion))
     const version = this.version
-    return ok({ changes: this.distort(this.listChanges(prefix, afterVersion)), version })
+    return ok({ changes: this.applyWatchFaults(this.listChanges(prefix, afterVersion)), version })
   }
 
-  /** Forgets the log of changes, so that watches must list again. */
+  /** Discards the log of changes, so that watches must list again. */
   compact (): void {
     this.log = []
     this.compactedThrough = this.version
   }
 
-  /** The store as it is now, to be restored later. */
+  /** Takes a snapshot for `restore`. */
   takeCopy (): MemoryCopy {
     return { version: this.version, objects: new Map(this.objects) }
   }
 
-  /** Comes back from an older copy, in another epoch: what was written since is gone, and revisions count on from the copy's. */
+  /** Restores an older snapshot in a new epoch. Later writes are lost, and revisions continue from the snapshot's. */
   restore (copy: MemoryCopy): void {
     const epoch = readEpoch(this.version) + 1
     this.version = buildVersion(epoch, readRevision(copy.version))
@@ -116,27 +116,27 @@
     return this.faults.down
   }
 
-  private async change (key: string, text: string | undefined, expectedVersion: number): Promise<Result<number, PulleystackError>> {
+  private async changeObject (key: string, text: string | undefined, expectedVersion: number): Promise<Result<number, PulleystackError>> {
     this.counts.writes++
-    if (await this.isFailing()) return err(createUnavailable())
-    if (takeOne(this.faults, 'loseWrites')) return err(createUnknown(key))
-    const standing = this.objects.get(key)?.version ?? 0
-    if (standing !== expectedVersion) {
+    if (await this.isFailing()) return err(createUnavailableError())
+    if (takeFault(this.faults, 'loseWrites')) return err(createUnknownOutcomeError(key))
+    const currentVersion = this.objects.get(key)?.version ?? 0
+    if (currentVersion !== expectedVersion) {
       this.counts.conflicts++
-      return err(new PulleystackError('STORE_CONFLICT', `${key} has version ${standing}`))
+      return err(new PulleystackError('STORE_CONFLICT', `${key} has version ${currentVersion}`))
     }
-    this.store(key, text)
-    if (takeOne(this.faults, 'loseAnswers')) return err(createUnknown(key))
+    this.applyChange(key, text)
+    if (takeFault(this.faults, 'loseAnswers')) return err(createUnknownOutcomeError(key))
     return ok(this.version)
   }
 
-  private store (key: string, text: string | undefined): void {
+  private applyChange (key: string, text: string | undefined): void {
     this.version++
     if (text === undefined) this.objects.delete(key)
     else this.objects.set(key, { version: this.version, text })
     this.counts.writtenBytes += text?.length ?? 0
     this.log.push({ key, version: this.version, value: text === undefined ? undefined : JSON.parse(text) as unknown })
-    if (this.log.length > LOG_LENGTH) this.compactedThrough = (this.log.shift() as StoreChange).version
+    if (this.log.length > MAX_LOG_CHANGES) this.compactedThrough = (this.log.shift() as StoreChange).version
     for (const wake of [...this.waiters]) wake()
   }
 
@@ -144,10 +144,10 @@
     return this.log.filter((change) => change.version > afterVersion && change.key.startsWith(prefix))
   }
 
-  private distort (changes: StoreChange[]): StoreChange[] {
+  private applyWatchFaults (changes: StoreChange[]): StoreChange[] {
     const { gapEvery, reorder } = this.faults
-    const kept = gapEvery > 0 ? changes.filter(() => ++this.emitted % gapEvery !== 0) : changes
-    return reorder ? kept.reverse() : kept
+    const emitted = gapEvery > 0 ? changes.filter(() => ++this.emittedChanges % gapEvery !== 0) : changes
+    return reorder ? emitted.reverse() : emitted
   }
 
   private waitForWrite (prefix: string, afterVersion: number, waitMs: number, signal?: AbortSignal): Promise<void> {
@@ -168,20 +168,20 @@
   }
 }
 
-function takeOne (faults: StoreFaults, name: 'loseAnswers' | 'loseWrites'): boolean {
+function takeFault (faults: StoreFaults, name: 'loseAnswers' | 'loseWrites'): boolean {
   if (faults[name] <= 0) return false
   faults[name]--
   return true
 }
 
-function createUnavailable (): PulleystackError {
+function createUnavailableError (): PulleystackError {
   return new PulleystackError('STORE_UNAVAILABLE', 'The object API is down', { retryAfterSeconds: 1 })
 }
 
-function createCompacted (afterVersion: number): PulleystackError {
-  return new PulleystackError('STORE_COMPACTED', `Changes after ${afterVersion} are gone`)
+function createCompactedError (afterVersion: number): PulleystackError {
+  return new PulleystackError('STORE_COMPACTED', `Changes after version ${afterVersion} are no longer available`)
 }
 
-function createUnknown (key: string): PulleystackError {
-  return new PulleystackError('STORE_OUTCOME_UNKNOWN', `Whether the write of ${key} took effect is not known`)
+function createUnknownOutcomeError (key: string): PulleystackError {
+  return new PulleystackError('STORE_OUTCOME_UNKNOWN', `It is unknown whether the write of ${key} took effect`)
 }
--- a/emulator/stand-ins/src/WeightGate.ts
+++ b/emulator/stand-ins/src/WeightGate.ts
@@ -3,10 +3,10 @@
 import type { WeightStoreLimits } from '@pulleystack/backend.interfaces'
 import { answerJson, listenLoopback, type LoopbackServer } from './listenLoopback.js'
 
-/** Lets engines load weights at the store's pace: so many starts a second, so many at once. */
+/** Simulates how fast engines can load weights under the weight store's limits. */
 export class WeightGate {
   loads = 0
-  private active = 0
+  private activeLoads = 0
   private nextStart = 0
 
   constructor (private readonly opts: { clock: Clock, limits: WeightStoreLimits }) {}
@@ -15,7 +15,7 @@
     return this.opts.limits
   }
 
-  /** Resolves when the bytes have been read. */
+  /** Resolves when the bytes have been loaded. */
   async load (bytes: number): Promise<void> {
     const { clock, limits } = this.opts
     const now = clock.readTime()
@@ -23,11 +23,11 @@
     this.nextStart = start + 1000 / limits.loadsPerSecond
     this.loads++
     await clock.wait(start - now)
-    this.active++
-    // Beyond the number that it serves at full speed the store shares its bandwidth.
-    const slowdown = Math.max(1, this.active / limits.loadsAtOnce)
+    this.activeLoads++
+    // Above `loadsAtOnce`, concurrent loads share the bandwidth of the store.
+    const slowdown = Math.max(1, this.activeLoads / limits.loadsAtOnce)
     await clock.wait(bytes / limits.bytesPerSecond * 1000 * slowdown)
-    this.active--
+    this.activeLoads--
   }
 }
 
--- a/emulator/stand-ins/src/instanceList.ts
+++ b/emulator/stand-ins/src/instanceList.ts
@@ -6,11 +6,11 @@
 import { answerJson, listenLoopback, readWholeBody, type LoopbackServer } from './listenLoopback.js'
 
 interface ListSnapshot {
-  at: number
+  takenAt: number
   instances: ListedInstance[]
 }
 
-/** The instance list in memory; readers see it as it was `lagMs` ago. */
+/** In-memory instance list. Readers see the state of `lagMs` milliseconds ago. */
 export class MemoryInstanceList extends InstanceList {
   lagMs: number
   down = false
@@ -39,20 +39,20 @@
 
   async listInstances (): Promise<Result<ListedInstance[], PulleystackError>> {
     if (this.down) return err(new PulleystackError('STORE_UNAVAILABLE', 'The instance list is down'))
-    const seen = this.opts.clock.readTime() - this.lagMs
-    const snapshot = this.snapshots.findLast((it) => it.at <= seen)
+    const visibleUntil = this.opts.clock.readTime() - this.lagMs
+    const snapshot = this.snapshots.findLast((it) => it.takenAt <= visibleUntil)
     return ok(snapshot?.instances ?? [])
   }
 
   private takeSnapshot (): void {
     const now = this.opts.clock.readTime()
-    this.snapshots.push({ at: now, instances: [...this.instances.values()] })
-    const oldest = this.snapshots.findLastIndex((it) => it.at <= now - this.lagMs)
+    this.snapshots.push({ takenAt: now, instances: [...this.instances.values()] })
+    const oldest = this.snapshots.findLastIndex((it) => it.takenAt <= now - this.lagMs)
     if (oldest > 0) this.snapshots = this.snapshots.slice(oldest)
   }
 }
 
-/** Serves the list; entries can be put and deleted, as the platform would by itself. */
+/** Serves the list over HTTP. PUT and DELETE requests change entries, which the platform would do itself. */
 export function serveInstanceList (list: MemoryInstanceList, port = 0): Promise<LoopbackServer> {
   return listenLoopback(async (request, response) => {
     const id = decodeURIComponent((request.url ?? '').slice(Paths.INSTANCES.length + 1))
--- a/emulator/stand-ins/src/listenLoopback.ts
+++ b/emulator/stand-ins/src/listenLoopback.ts
@@ -2,14 +2,14 @@
 import type { AddressInfo, Socket } from 'node:net'
 import { buffer } from 'node:stream/consumers'
 
-/** A stand-in's server on an ephemeral loopback port. */
+/** An HTTP server on a loopback port. */
 export interface LoopbackServer {
   address: string
-  /** Ends every connection at once, as a death would. */
+  /** Breaks all connections immediately, as a crash would. */
   close: () => Promise<void>
 }
 
-/** Serves on 127.0.0.1; port 0 takes a free one. */
+/** Starts an HTTP server on 127.0.0.1. Port 0 selects a free port. */
 export async function listenLoopback (handle: http.RequestListener, port = 0): Promise<LoopbackServer> {
   const server = http.createServer({ keepAliveTimeout: 60_000 }, handle)
   const sockets = new Set<Socket>()
@@ -31,7 +31,6 @@
   })
 }
 
-/** Reads a request's whole body. */
 export function readWholeBody (request: http.IncomingMessage): Promise<Buffer> {
   return buffer(request)
 }
--- a/emulator/stand-ins/src/promptBlocks.ts
+++ b/emulator/stand-ins/src/promptBlocks.ts
@@ -1,15 +1,15 @@
 import { hashText } from '@pulleystack/core.hashing'
 
-/** Characters that one block of the prefix cache covers. */
+/** Size of a prefix cache block in characters. */
 export const BLOCK_CHARACTERS = 256
 
-/** Hashes of a prompt's whole blocks; each depends on all before it. */
+/** Hashes the complete blocks of a prompt. Each hash also depends on all blocks before it. */
 export function hashPromptBlocks (item: string, prompt: string): number[] {
   const blocks: number[] = []
-  let chain = hashText(item)
-  for (let at = 0; at + BLOCK_CHARACTERS <= prompt.length; at += BLOCK_CHARACTERS) {
-    chain = hashText(prompt.slice(at, at + BLOCK_CHARACTERS), chain)
-    blocks.push(chain)
+  let chainedHash = hashText(item)
+  for (let start = 0; start + BLOCK_CHARACTERS <= prompt.length; start += BLOCK_CHARACTERS) {
+    chainedHash = hashText(prompt.slice(start, start + BLOCK_CHARACTERS), chainedHash)
+    blocks.push(chainedHash)
   }
   return blocks
 }
--- a/emulator/stand-ins/src/serveObjectStore.ts
+++ b/emulator/stand-ins/src/serveObjectStore.ts
@@ -5,12 +5,12 @@
 import { answerJson, listenLoopback, readWholeBody, type LoopbackServer } from './listenLoopback.js'
 import type { MemoryObjectStore } from './MemoryObjectStore.js'
 
-/** Serves a store in memory over the wire format of the object API. */
+/** Serves an in-memory store over HTTP in the wire format of the object API. */
 export function serveObjectStore (store: MemoryObjectStore, port = 0): Promise<LoopbackServer> {
-  return listenLoopback((request, response) => void handleCall(store, request, response), port)
+  return listenLoopback((request, response) => void handleRequest(store, request, response), port)
 }
 
-async function handleCall (store: MemoryObjectStore, request: http.IncomingMessage, response: http.ServerResponse): Promise<void> {
+async function handleRequest (store: MemoryObjectStore, request: http.IncomingMessage, response: http.ServerResponse): Promise<void> {
   const url = new URL(request.url ?? '/', 'http://store')
   const prefix = url.searchParams.get('prefix') ?? ''
   if (url.pathname === Paths.WATCH) {
@@ -19,13 +19,13 @@
   }
   if (url.pathname === Paths.OBJECTS) {
     const listing = await store.listObjects(prefix)
-    answer(response, listing, (value) => answerJson(response, 200, value))
+    sendResult(response, listing, (value) => answerJson(response, 200, value))
     return
   }
   const key = decodeURIComponent(url.pathname.slice(Paths.OBJECTS.length + 1))
   if (request.method === 'GET') {
     const read = await store.readObject(key)
-    answer(response, read, (object) => answerJson(response, object ? 200 : 404, object?.value ?? null, { [VERSION_HEADER]: object?.version ?? 0 }))
+    sendResult(response, read, (object) => answerJson(response, object ? 200 : 404, object?.value ?? null, { [VERSION_HEADER]: object?.version ?? 0 }))
     return
   }
   await handleChange(store, key, request, response)
@@ -35,7 +35,7 @@
   const abort = new AbortController()
   response.on('close', () => abort.abort())
   const batch = await store.waitForChanges(prefix, Number(url.searchParams.get('after')), Number(url.searchParams.get('wait')), abort.signal)
-  answer(response, batch, (value) => answerJson(response, 200, value))
+  sendResult(response, batch, (value) => answerJson(response, 200, value))
 }
 
 async function handleChange (store: MemoryObjectStore, key: string, request: http.IncomingMessage, response: http.ServerResponse): Promise<void> {
@@ -44,15 +44,15 @@
   const changed = request.method === 'PUT'
     ? await store.writeObject(key, JSON.parse(body.toString()), expected)
     : await store.deleteObject(key, expected)
-  answer(response, changed, (version) => answerJson(response, 200, {}, { [VERSION_HEADER]: version }))
+  sendResult(response, changed, (version) => answerJson(response, 200, {}, { [VERSION_HEADER]: version }))
 }
 
-function answer<T> (response: http.ServerResponse, result: Result<T, PulleystackError>, succeed: (value: T) => void): void {
+function sendResult<T> (response: http.ServerResponse, result: Result<T, PulleystackError>, succeed: (value: T) => void): void {
   if (result.isOk()) {
     succeed(result.value)
     return
   }
-  // An unknown outcome is what a caller sees when the connection breaks.
+  // Clients treat a broken connection as an unknown outcome.
   if (result.error.code === 'STORE_OUTCOME_UNKNOWN') response.destroy()
   else answerJson(response, result.error.row.status, { message: result.error.message })
 }
