--- a/program/cli/src/commands/get.ts
+++ b/program/cli/src/commands/get.ts
@@ -8,7 +8,7 @@
   partner?: string
 }
 
-/** An object as the operators' interface gives it. */
+/** An object as the admin API returns it. */
 export interface ListedObject {
   kind: string
   partner: string
@@ -23,7 +23,7 @@
 export const description = 'List objects'
 
 export function help (command: Command): void {
-  addOutputHelp(addConnectionHelp(command)).option('--partner <partner>', 'Only of this partner').example('pulleystack get Model -o json')
+  addOutputHelp(addConnectionHelp(command)).option('--partner <partner>', 'Only objects of this partner').example('pulleystack get Model -o json')
 }
 
 export async function handler (context: CommandContext, args: readonly string[], opts: GetOptions): Promise<ExitCode> {
@@ -34,8 +34,8 @@
 }
 
 export async function listObjects (context: CommandContext, opts: GetOptions, [kind, name]: readonly string[]): Promise<ListedObject[]> {
-  const answer = await new AdminClient(context, opts).get('/admin/objects', { kind, name, partner: opts.partner }) as { objects: ListedObject[] }
-  return answer.objects
+  const response = await new AdminClient(context, opts).get('/admin/objects', { kind, name, partner: opts.partner }) as { objects: ListedObject[] }
+  return response.objects
 }
 
 function formatLabels (labels: Record<string, string> = {}): string {
--- a/program/demo/src/DemoCaller.ts
+++ b/program/demo/src/DemoCaller.ts
@@ -1,23 +1,23 @@
 import http from 'node:http'
 import { parseAddress } from '@pulleystack/core.addresses'
 
-/** What came back for one request. */
+/** Response to one request. */
 export interface DemoAnswer {
   status: number
   headers: http.IncomingHttpHeaders
   body: string
-  /** False when the connection broke before the answer's end. */
-  whole: boolean
+  /** False if the connection broke before the end of the response. */
+  isComplete: boolean
 }
 
-/** One call over HTTP, as a caller of the system makes it. */
+/** Sends one HTTP request with the caller's key; rejects if no response arrives. */
 export function sendCall (
   address: string,
   opts: { method: string, path: string, key: string, headers?: http.OutgoingHttpHeaders, body?: unknown },
 ): Promise<DemoAnswer> {
-  const text = opts.body === undefined ? undefined : JSON.stringify(opts.body)
+  const requestBody = opts.body === undefined ? undefined : JSON.stringify(opts.body)
   const headers: http.OutgoingHttpHeaders = { authorization: `Bearer ${opts.key}`, ...opts.headers }
-  if (text !== undefined) Object.assign(headers, { 'content-type': 'application/json', 'content-length': Buffer.byteLength(text) })
+  if (requestBody !== undefined) Object.assign(headers, { 'content-type': 'application/json', 'content-length': Buffer.byteLength(requestBody) })
   return new Promise((resolve, reject) => {
     const request = http.request({ ...parseAddress(address), method: opts.method, path: opts.path, headers })
     request.on('error', reject)
@@ -27,15 +27,15 @@
       response.on('data', (chunk: string) => {
         body += chunk
       })
-      const finish = (whole: boolean) => resolve({ status: response.statusCode ?? 0, headers: response.headers, body, whole })
+      const finish = (isComplete: boolean) => resolve({ status: response.statusCode ?? 0, headers: response.headers, body, isComplete })
       response.on('end', () => finish(response.complete))
       response.on('error', () => finish(false))
     })
-    request.end(text)
+    request.end(requestBody)
   })
 }
 
-/** The text of a streamed answer, undefined when it has no proper end. */
+/** Reads the text of a streamed completion; undefined if the stream was truncated. */
 export function readStreamText (body: string): string | undefined {
   if (!body.includes('data: [DONE]')) return undefined
   const events = body.split('\n\n').filter((event) => event.startsWith('data: {'))
--- a/program/instance/src/listen.ts
+++ b/program/instance/src/listen.ts
@@ -10,17 +10,17 @@
 
 const MAX_HEADER_BYTES = 32 << 10
 const MAX_HEADERS = 100
-const KEEP_ALIVE_MS = 30_000
+const KEEP_ALIVE_TIMEOUT_MS = 30_000
 
-/** The listener for callers and operators. */
+/** HTTP listener for callers and operators. */
 export interface Listener {
   address: string
-  /** Takes no new connection and tells those that are idle to go. */
+  /** Stops accepting connections and closes idle ones; resolves when all are closed. */
   close: () => Promise<void>
-  /** From now on every answer asks its caller to connect elsewhere. */
+  /** Sends `connection: close` with every response from now on. */
   setClosing: () => void
-  /** Ends every connection at once. */
-  cut: () => Promise<void>
+  /** Closes all connections immediately. */
+  closeNow: () => Promise<void>
 }
 
 export async function listen (core: Core, gateways: Gateways): Promise<Listener> {
@@ -30,7 +30,7 @@
     maxHeaderSize: MAX_HEADER_BYTES,
     headersTimeout: settings.limits.headersTimeoutMs,
     requestTimeout: settings.limits.requestTimeoutMs,
-    keepAliveTimeout: KEEP_ALIVE_MS,
+    keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS,
     noDelay: true,
   }
   const handle: http.RequestListener = (request, response) => {
@@ -52,9 +52,9 @@
     setClosing: () => {
       state.closing = true
     },
-    close: () => closeGently(server),
-    cut: () => {
-      const closed = closeGently(server)
+    close: () => closeServer(server),
+    closeNow: () => {
+      const closed = closeServer(server)
       server.closeAllConnections()
       return closed
     },
@@ -65,7 +65,7 @@
   return { cert: await readFile(files.certificate, 'utf8'), key: await readFile(files.key, 'utf8') }
 }
 
-function closeGently (server: http.Server): Promise<void> {
+function closeServer (server: http.Server): Promise<void> {
   return new Promise((resolve) => {
     server.close(() => resolve())
     server.closeIdleConnections()
@@ -73,11 +73,11 @@
 }
 
 async function dispatch (core: Core, gateways: Gateways, request: http.IncomingMessage, response: http.ServerResponse): Promise<void> {
-  // Parts of a request that was refused may still come; they must not end the process.
+  // Errors after a request was rejected must not crash the process.
   request.on('error', () => undefined)
   response.on('error', () => undefined)
   const url = parseUrl(request)
-  if (!url) sendError(response, new PulleystackError('BAD_HEADER', 'The path of the request cannot be read', { field: 'path' }))
+  if (!url) sendError(response, new PulleystackError('BAD_HEADER', 'The request path is malformed', { field: 'path' }))
   else if (url.pathname === '/healthz') sendJson(response, 200, { live: true })
   else if (url.pathname === '/readyz') sendReadiness(core, response)
   else if (url.pathname === '/metrics') await sendMetrics(core, response)
@@ -105,18 +105,18 @@
   response.end(text)
 }
 
-/** Answers what is not HTTP, or comes too slowly, and closes only that connection. */
+/** Responds to a malformed or too slow request and closes its connection. */
 function answerClientError (error: NodeJS.ErrnoException, socket: Socket): void {
   if (error.code === 'ECONNRESET' || !socket.writable) {
     socket.destroy()
     return
   }
-  const slow = error.code === 'ERR_HTTP_REQUEST_TIMEOUT'
-  // Part of a body that streams may have reached a backend server by now.
-  const known = slow
+  const isTimeout = error.code === 'ERR_HTTP_REQUEST_TIMEOUT'
+  // Part of a streamed body may already have reached a backend server.
+  const clientError = isTimeout
     ? new PulleystackError('BODY_TOO_SLOW', 'The request did not arrive in time', { ran: Ran.UNKNOWN })
-    : new PulleystackError('BAD_HEADER', `Not a request that can be read: ${error.code}`)
-  const body = JSON.stringify(known.renderBody())
-  const status = `${known.row.status} ${http.STATUS_CODES[known.row.status]}`
-  socket.end(`HTTP/1.1 ${status}\r\nconnection: close\r\ncontent-type: application/json\r\npulleystack-ran: ${known.ran}\r\ncontent-length: ${Buffer.byteLength(body)}\r\n\r\n${body}`)
+    : new PulleystackError('BAD_HEADER', `Malformed request: ${error.code}`)
+  const body = JSON.stringify(clientError.renderBody())
+  const status = `${clientError.row.status} ${http.STATUS_CODES[clientError.row.status]}`
+  socket.end(`HTTP/1.1 ${status}\r\nconnection: close\r\ncontent-type: application/json\r\npulleystack-ran: ${clientError.ran}\r\ncontent-length: ${Buffer.byteLength(body)}\r\n\r\n${body}`)
 }
