--- a/gateway/admin/src/explainRoute.ts
+++ b/gateway/admin/src/explainRoute.ts
@@ -70,7 +70,7 @@
 function describe (backend: Backend, running: number, now: number): string {
   if (backend.entry.draining) return 'is leaving'
   if (!backend.isReachable(now)) return 'could not be connected to and is left alone for a while'
-  if (backend.stated.backoff.isActive(now)) return 'asked for rest and is left alone until then'
+  if (backend.reported.backoff.isActive(now)) return 'asked for rest and is left alone until then'
   if (backend.outlier.isEjected(now)) return 'failed too often and is left alone for a while'
   return running < backend.entry.slots ? 'can take it now' : 'has no free slot'
 }
--- a/gateway/routed/src/BackendQueue.ts
+++ b/gateway/routed/src/BackendQueue.ts
@@ -120,7 +120,7 @@
   /** An overdue request leaves slots to requests at other instances that can still meet their latency targets. */
   private mustYield ({ work, candidate }: WaitingRequest): boolean {
     if (!this.opts.policy.timelyFirst || hasPartialAnswer(work)) return false
-    if (isInTime(candidate, this.opts.clock.readTime()) || this.opts.fleet.waiting.countElsewhere(buildQueueKey(work)) === 0) return false
+    if (isInTime(candidate, this.opts.clock.readTime()) || this.opts.fleet.waiting.countAtPeers(buildQueueKey(work)) === 0) return false
     return typeof this.chooseServer(work, this.computePrefillLimit(work), work.excluded) !== 'string'
   }
 
@@ -136,7 +136,7 @@
 
   /** Last chance to meet the latency target or the deadline: exceeding the prefill limit is better than missing them. */
   private tryIgnoringPrefillLimit (item: WaitingRequest): void {
-    const slot = item.lastFailure === ChoiceFailures.READING ? this.tryAcquire(item.work, Infinity) : undefined
+    const slot = item.lastFailure === ChoiceFailures.PREFILLING ? this.tryAcquire(item.work, Infinity) : undefined
     if (slot instanceof BackendSlot) item.resolve(slot)
   }
 
@@ -144,10 +144,10 @@
     const choice = this.chooseServer(work, prefillLimit, work.excluded, (backend) => this.permitDemand.add(backend))
     if (typeof choice === 'string') return choice
     const { generation } = work
-    if (generation) this.opts.fleet.notePrefix(choice.backend, nameWeights(generation.model, generation.adapter), generation.parts)
+    if (generation) this.opts.fleet.recordPrefix(choice.backend, nameWeights(generation.model, generation.adapter), generation.parts)
     const stopTracking = this.forecast.noteAcquired(choice.backend.id)
     const slot: BackendSlot = new BackendSlot(choice, work, this.opts.clock, (change) => {
-      this.opts.fleet.noteLoadChange()
+      this.opts.fleet.announceLoadChange()
       if (change === SlotChanges.ACQUIRED) return
       if (change === SlotChanges.UNSENT) this.permitDemand.giveBack(choice.backend)
       if (change === SlotChanges.RELEASED) {
@@ -163,7 +163,7 @@
     work: RoutedWork,
     prefillLimit: number,
     excluded: ReadonlySet<string>,
-    onLacking?: (backend: Backend) => void,
+    onPermitNeeded?: (backend: Backend) => void,
   ): BackendChoice | ChoiceFailure {
     return chooseBackend({
       backends: this.opts.fleet.list(work.service.name),
@@ -171,15 +171,15 @@
         dataHall: this.opts.dataHall,
         excluded,
         generation: work.generation,
-        queueShare: QUEUE_SHARE,
-        readingLimit: prefillLimit,
-        mustBeApart: work.mustBeApart,
+        overcommitShare: QUEUE_SHARE,
+        prefillLimit,
+        mustAvoidSuspects: work.mustBeApart,
       },
-      figures: work.service.serving,
+      capacity: work.service.serving,
       policy: this.opts.policy,
       random: this.opts.random,
       now: this.opts.clock.readTime(),
-      onLacking,
+      onPermitNeeded,
     })
   }
 
@@ -192,7 +192,7 @@
     const times = slot.readTimes()
     if (!times) return
     const { generation, service } = work
-    const readTokens = Math.max(0, (generation?.promptTokens ?? 0) - slot.choice.keptTokens)
+    const readTokens = Math.max(0, (generation?.promptTokens ?? 0) - slot.choice.cachedTokens)
     this.forecast.noteServed(work, { ...times, readTokens })
     if (!generation) return
     this.notePause(slot, work)
@@ -203,7 +203,7 @@
   /** Skips resumed streams: their longest pause may be due to the failure of the former server. */
   private notePause (slot: BackendSlot, { route, stream, excluded }: RoutedWork): void {
     if (route.longestPauseMs === undefined || stream.events < 2 || excluded.size > 0) return
-    this.opts.fleet.notePause(slot.backend, stream.longestPauseMs / route.longestPauseMs, this.opts.clock.readTime())
+    this.opts.fleet.recordPause(slot.backend, stream.longestPauseMs / route.longestPauseMs, this.opts.clock.readTime())
   }
 
   private wait (work: RoutedWork): Promise<BackendSlot> {
@@ -214,7 +214,7 @@
         work.signal.removeEventListener('abort', handleAbort)
         this.waiting = this.waiting.filter((other) => other !== item)
         removeTally()
-        fleet.noteLoadChange()
+        fleet.announceLoadChange()
       }
       const candidate = this.forecast.createCandidate(work, policy.patienceBound)
       let removeTally = isInTime(candidate, clock.readTime()) ? fleet.waiting.add(buildQueueKey(work)) : () => undefined
@@ -244,7 +244,7 @@
           removeTally()
           removeTally = () => undefined
           // Notifies other instances, whose requests would otherwise keep yielding to this one.
-          fleet.noteLoadChange()
+          fleet.announceLoadChange()
           this.tryIgnoringPrefillLimit(item)
         }),
         setTimer(candidate.latestAt, () => {
@@ -254,7 +254,7 @@
       ]
       work.signal.addEventListener('abort', handleAbort, { once: true })
       this.waiting.push(item)
-      fleet.noteLoadChange()
+      fleet.announceLoadChange()
       if (work.signal.aborted) handleAbort()
       else this.pump()
       if (this.waiting.includes(item)) this.recordWaiting(item)
--- a/gateway/routed/src/BackendSlot.ts
+++ b/gateway/routed/src/BackendSlot.ts
@@ -1,5 +1,5 @@
 import type { Clock } from '@pulleystack/core.clock'
-import type { Backend, BackendChoice, CreditUse } from '@pulleystack/routing.fleet'
+import type { Backend, BackendChoice, RampUpRequest } from '@pulleystack/routing.fleet'
 import type { ServedTimes } from './SlotForecast.js'
 import type { RoutedWork } from './RoutedWork.js'
 
@@ -21,7 +21,7 @@
   private readonly acquiredAt: number
   private pendingPrefillTokens: number
   private isReleased = false
-  private readonly rampUp: CreditUse
+  private readonly rampUp: RampUpRequest
   private prefilledAt: number | undefined
   private readonly suspectCount: number
   /** Whether the slot holds a permit that has not been used. */
@@ -35,14 +35,14 @@
   ) {
     this.acquiredAt = clock.readTime()
     this.suspectCount = work.isSuspect ? 1 : 0
-    this.pendingPrefillTokens = Math.max(0, (work.generation?.promptTokens ?? 0) - choice.keptTokens)
-    const { own } = choice.backend
+    this.pendingPrefillTokens = Math.max(0, (work.generation?.promptTokens ?? 0) - choice.cachedTokens)
+    const { ownLoad: own } = choice.backend
     own.running++
     own.prefillTokens += this.pendingPrefillTokens
     own.cacheTokens += this.cacheTokens
     own.suspects += this.suspectCount
-    const { backoff, limit, permits } = choice.backend.stated
-    this.rampUp = backoff.take()
+    const { backoff, limit, permits } = choice.backend.reported
+    this.rampUp = backoff.takeAllowance()
     this.hasPermit = limit.perSecond !== undefined && permits.take(this.acquiredAt)
     onChange(SlotChanges.ACQUIRED)
   }
@@ -58,7 +58,7 @@
 
   /** Records that the server accepted the request, which raises the ramp-up allowance after a pause. */
   noteAnswered (): void {
-    if (this.rampUp.noteAnswered()) this.onChange(SlotChanges.RAMPING)
+    if (this.rampUp.recordResponse()) this.onChange(SlotChanges.RAMPING)
   }
 
   /** Records that the server has processed the prompt. */
@@ -75,7 +75,7 @@
 
   private releasePrefill (): void {
     if (this.pendingPrefillTokens === 0) return
-    this.backend.own.prefillTokens -= this.pendingPrefillTokens
+    this.backend.ownLoad.prefillTokens -= this.pendingPrefillTokens
     this.pendingPrefillTokens = 0
     this.onChange(SlotChanges.PREFILLED)
   }
@@ -84,9 +84,9 @@
     if (this.isReleased) return
     this.isReleased = true
     this.releasePrefill()
-    this.backend.own.running--
-    this.backend.own.cacheTokens -= this.cacheTokens
-    this.backend.own.suspects -= this.suspectCount
+    this.backend.ownLoad.running--
+    this.backend.ownLoad.cacheTokens -= this.cacheTokens
+    this.backend.ownLoad.suspects -= this.suspectCount
     this.rampUp.end()
     if (this.hasPermit) this.onChange(SlotChanges.UNSENT)
     this.onChange(SlotChanges.RELEASED)
--- a/gateway/routed/src/SlotForecast.ts
+++ b/gateway/routed/src/SlotForecast.ts
@@ -93,15 +93,15 @@
   describeLimits (work: RoutedWork): ReachedLimits {
     const now = this.opts.clock.readTime()
     const limited = this.listLimited(work)
-    const limits = limited.map(({ id, stated }) => {
-      const { perSecond = Infinity, saidBefore, heardBy } = stated.limit.statement
-      return { backend: id, perSecond, saidMsAgo: Math.round(now - saidBefore), ...heardBy !== undefined && { heardBy } }
+    const limits = limited.map(({ id, reported }) => {
+      const { perSecond = Infinity, reportedBefore, receivedBy: heardBy } = reported.limit.report
+      return { backend: id, perSecond, saidMsAgo: Math.round(now - reportedBefore), ...heardBy !== undefined && { heardBy } }
     })
     return { limits, expectedMs: Math.round(computeNextPermitMs(limited, now)) }
   }
 
   private listLimited (work: RoutedWork): Backend[] {
-    return this.listAvailable(work).filter(({ stated }) => stated.limit.perSecond !== undefined)
+    return this.listAvailable(work).filter(({ reported }) => reported.limit.perSecond !== undefined)
   }
 
   /** Estimates the wait for a permit of a rate-limited server or a slot at another one, whichever comes first. */
@@ -111,7 +111,7 @@
     const others = this.listAvailable(work).filter((backend) => !limited.includes(backend))
     const slotWait = others.length === 0 ? undefined : this.estimateSlotWaitAt(work, ahead, others)
     if (limited.length === 0) return slotWait
-    const perSecond = limited.reduce((sum, { stated }) => sum + computePermitsPerSecond(stated.limit.perSecond ?? Infinity), 0)
+    const perSecond = limited.reduce((sum, { reported }) => sum + computePermitsPerSecond(reported.limit.perSecond ?? Infinity), 0)
     const heldMs = 1_000 / perSecond
     const nextMs = computeNextPermitMs(limited, now)
     // Permits arrive one at a time, like slots of a server that runs one request after the other.
@@ -122,7 +122,7 @@
 
   /** Whether a request for permits of an available server is unanswered. */
   isAwaitingPermits (work: RoutedWork): boolean {
-    return this.listAvailable(work).some(({ stated }) => stated.permits.isAsking)
+    return this.listAvailable(work).some(({ reported }) => reported.permits.hasPendingRequest)
   }
 
   private estimateSlotWaitAt (work: RoutedWork, ahead: number, servers: readonly Backend[]): WaitEstimate | undefined {
@@ -147,7 +147,7 @@
       arrivalsPerSecond: this.arrivalRates.read(key),
       ahead,
       waiting: fleet.waiting.countOwn(key),
-      waitingElsewhere: fleet.waiting.countElsewhere(key),
+      waitingElsewhere: fleet.waiting.countAtPeers(key),
     })
   }
 
@@ -160,18 +160,18 @@
   /** Milliseconds until the first eligible server's pause ends; undefined when none is paused. */
   readBackoffMs (work: RoutedWork): number | undefined {
     const now = this.opts.clock.readTime()
-    const waits = this.listReachable(work, now).map((backend) => backend.stated.backoff.readLeftMs(now)).filter((ms) => ms > 0)
+    const waits = this.listReachable(work, now).map((backend) => backend.reported.backoff.readRemainingMs(now)).filter((ms) => ms > 0)
     return waits.length === 0 ? undefined : Math.min(...waits)
   }
 
   private listAvailable (work: RoutedWork): Backend[] {
     const now = this.opts.clock.readTime()
-    return this.listReachable(work, now).filter((backend) => !backend.stated.backoff.isActive(now))
+    return this.listReachable(work, now).filter((backend) => !backend.reported.backoff.isActive(now))
   }
 
   /** Lists reachable servers that are not draining and hold the weights, paused ones included. */
   private listReachable ({ service, generation }: RoutedWork, now: number): Backend[] {
-    const reachable = this.opts.fleet.list(service.name).filter((backend) => backend.isStaying(now))
+    const reachable = this.opts.fleet.list(service.name).filter((backend) => backend.isAvailable(now))
     return generation ? reachable.filter((backend) => backend.hasWeights(generation.model, generation.adapter)) : reachable
   }
 
@@ -187,7 +187,7 @@
 
 /** Milliseconds until the first of the servers is expected to have a permit. */
 function computeNextPermitMs (limited: readonly Backend[], now: number): number {
-  return Math.min(...limited.map(({ stated }) => Math.max(0, stated.permits.expectedAt - now)))
+  return Math.min(...limited.map(({ reported }) => Math.max(0, reported.permits.nextExpectedAt - now)))
 }
 
 /** Identifies the slots that a request can use, by service and weights. */
--- a/gateway/routed/src/SuspectGate.ts
+++ b/gateway/routed/src/SuspectGate.ts
@@ -1,6 +1,6 @@
 import type { Clock } from '@pulleystack/core.clock'
 import { PulleystackError, Ran } from '@pulleystack/core.errors'
-import { nameLife, type Backend, type BackendFleet } from '@pulleystack/routing.fleet'
+import { formatIncarnation, type Backend, type BackendFleet } from '@pulleystack/routing.fleet'
 import type { ServerProbe } from '@pulleystack/routing.forward'
 import { Verdicts, type Quarantine, type SuspectRun, type Verdict } from '@pulleystack/routing.quarantine'
 import { DecisionKinds, type DecisionLog } from '@pulleystack/timeline.decisions'
@@ -61,7 +61,7 @@
     const sentMs = Math.round(clock.readTime() - sentAt)
     if (!this.isExpectedToRun(backend) || !await probe.hasEnded(backend.entry.address)) return
     const identity = this.ensureIdentity(work)
-    quarantine.noteServerEnd(identity, { life: nameLife(backend.entry), wasOnlyRun: run.isOnly })
+    quarantine.noteServerEnd(identity, { life: formatIncarnation(backend.entry), wasOnlyRun: run.isOnly })
     const facts = { request: work.requestId, identity, backend: backend.id, address: backend.entry.address }
     log.record(DecisionKinds.SERVER_ENDED, { ...facts, send, sentMs, events: work.stream.events, ends: quarantine.listEnds(identity).length })
   }
--- a/gateway/routed/src/runRequest.ts
+++ b/gateway/routed/src/runRequest.ts
@@ -4,7 +4,7 @@
 import { PulleystackError, Ran, convertToError } from '@pulleystack/core.errors'
 import type { BackendAgent, ExchangeAnswer } from '@pulleystack/routing.forward'
 import { openExchange } from '@pulleystack/routing.forward'
-import type { BackendFleet, StatementIntake } from '@pulleystack/routing.fleet'
+import type { BackendFleet, ServerReports } from '@pulleystack/routing.fleet'
 import type { SuspectRun } from '@pulleystack/routing.quarantine'
 import type { RetryPermit, WindowBudget } from '@pulleystack/routing.retries'
 import { DecisionKinds, type DecisionLog, type RetryVerdict } from '@pulleystack/timeline.decisions'
@@ -32,7 +32,7 @@
   protocol: RoutedProtocol
   queue: BackendQueue
   fleet: BackendFleet
-  statements: StatementIntake
+  reports: ServerReports
   /** Schedules the writes of stream events. */
   pace: StreamPace
   log: DecisionLog
@@ -137,22 +137,22 @@
     ...facts,
     running: slot.backend.readLoad().running,
     prefillTokens: slot.backend.readLoad().prefillTokens,
-    keptTokens: slot.choice.keptTokens,
+    keptTokens: slot.choice.cachedTokens,
     leftMs: Math.round(work.deadline - sentAt),
-    limitPerSecond: slot.backend.stated.limit.perSecond,
+    limitPerSecond: slot.backend.reported.limit.perSecond,
   })
   try {
     const exchange = buildExchange(opts, work, progress, slot)
     slot.noteSent()
     const answer = await openExchange({ ...exchange, signal: attempt.signal })
     progress.runs++
-    slot.backend.noteReached(clock.readTime())
+    slot.backend.recordReached(clock.readTime())
     slot.noteAnswered()
     const serverError = await relayAnswer(opts, { work, progress, slot, client, answer, attempt })
     suspects.noteServed(work)
     if (serverError) return recordFailure(opts, work, slot, serverError, facts)
     const hasFailed = answer.status >= MIN_SERVER_ERROR_STATUS
-    opts.fleet.noteOutcome(slot.backend, hasFailed, clock.readTime())
+    opts.fleet.recordOutcome(slot.backend, hasFailed, clock.readTime())
     if (!hasFailed) slot.backend.outlier.noteSuccess()
     return undefined
   } catch (thrown) {
@@ -231,7 +231,7 @@
     body: work.body,
     requestId: work.requestId,
     connectMs: CONNECT_TIMEOUT_MS,
-    onHead: (head) => opts.statements.takeAnswer(slot.backend, head, { requestId: work.requestId, sentAt }),
+    onHead: (head) => opts.reports.applyResponse(slot.backend, head, { requestId: work.requestId, sentAt }),
   }
 }
 
@@ -244,12 +244,12 @@
 ): PulleystackError {
   const { backend } = slot
   // A paused server gets no requests anyway, and may get this one after its pause.
-  if (!backend.stated.backoff.isActive(opts.clock.readTime())) work.excluded.add(backend.id)
+  if (!backend.reported.backoff.isActive(opts.clock.readTime())) work.excluded.add(backend.id)
   opts.log.record(DecisionKinds.ATTEMPT_FAILED, { ...facts, code: error.code, ran: error.ran, reason: error.message })
-  if (error.code === 'ATTEMPT_FAILED_NOT_RUN') backend.noteUnreachable(opts.clock.readTime())
+  if (error.code === 'ATTEMPT_FAILED_NOT_RUN') backend.recordUnreachable(opts.clock.readTime())
   const isSilent = error.code === 'DEADLINE_UNKNOWN' && work.stream.events === 0
   const isUncounted = !isSilent && (error.code === 'CALLER_GONE' || error.code === 'BACKEND_REFUSED' || error.code === 'ATTEMPT_FAILED_NOT_RUN' || work.signal.aborted)
-  if (!isUncounted) opts.fleet.noteOutcome(backend, true, opts.clock.readTime())
+  if (!isUncounted) opts.fleet.recordOutcome(backend, true, opts.clock.readTime())
   if (!isUncounted && backend.outlier.noteFailure(opts.clock.readTime(), opts.random.readFraction())) {
     opts.log.record(DecisionKinds.BACKEND_EJECTED, { backend: backend.id, address: backend.entry.address })
   }
--- a/gateway/routed/test/BackendQueue.test.ts
+++ b/gateway/routed/test/BackendQueue.test.ts
@@ -118,11 +118,11 @@
   })
 
   describe('while all servers that hold the weights are paused', () => {
-    const pauseServers = (ms: number): void => fleet.listAll().forEach((backend) => void fleet.noteRetryAfter(backend, ms, clock.readTime()))
+    const pauseServers = (ms: number): void => fleet.listAll().forEach((backend) => void fleet.recordRetryAfter(backend, ms, clock.readTime()))
 
     it('waits until the pause of the first server ends', async () => {
       pauseServers(2_000)
-      fleet.noteRetryAfter(fleet.find('b') as Backend, 3_000, clock.readTime())
+      fleet.recordRetryAfter(fleet.find('b') as Backend, 3_000, clock.readTime())
       const waiting = queue.acquire(createWork('held'))
       await clock.advance(1_990)
       assert.equal(queue.size, 1)
@@ -174,11 +174,11 @@
         hasSlot = true
       })
       await clock.advance(10)
-      fleet.waiting.takeOther('other', [['s|held', 1]])
+      fleet.waiting.applyPeerCounts('other', [['s|held', 1]])
       slots[0]?.release()
       await clock.advance(10)
       assert.equal(hasSlot, false)
-      fleet.waiting.takeOther('other', [])
+      fleet.waiting.applyPeerCounts('other', [])
       queue.pump()
       await clock.advance(10)
       assert.equal(hasSlot, true)
@@ -197,7 +197,7 @@
 
     it('does not let a request yield that can still meet its target', async () => {
       const slots = await fillServers()
-      fleet.waiting.takeOther('other', [['s|held', 1]])
+      fleet.waiting.applyPeerCounts('other', [['s|held', 1]])
       const waiting = queue.acquire(createWork('held'))
       await clock.advance(10)
       slots[0]?.release()
--- a/gateway/routed/test/runRequest.test.ts
+++ b/gateway/routed/test/runRequest.test.ts
@@ -58,7 +58,7 @@
     const address = `127.0.0.1:${(server.address() as AddressInfo).port}`
     const backend = new Backend({ id: 'b', service: 's', address, dataHall: 'z', slots: 1, draining: false, models: undefined, inMemory: [], onDisk: [] })
     const slotMethods = { noteSent: () => undefined, noteAnswered: () => undefined, notePrefilled: () => undefined }
-    const slot = { ...slotMethods, backend, choice: { keptTokens: 0 }, release: () => undefined } as unknown as BackendSlot
+    const slot = { ...slotMethods, backend, choice: { cachedTokens: 0 }, release: () => undefined } as unknown as BackendSlot
     let acquired = 0
     let resolveSecondAcquire = (): void => undefined
     secondAcquire = new Promise((resolve) => {
@@ -82,8 +82,8 @@
       },
       suspects: { hasBecomeSuspect: () => false, admit: () => Promise.resolve({ isOnly: false, release: () => undefined }), noteServed: () => undefined },
       queue: { acquire, hasSlotElsewhere: () => true },
-      fleet: { noteOutcome: () => undefined },
-      statements: { takeAnswer: () => undefined },
+      fleet: { recordOutcome: () => undefined },
+      reports: { applyResponse: () => undefined },
       log: new SilentDecisionLog(),
       findBudget: () => budget,
     } as unknown as RunOptions
--- a/placement/residency/src/ResidencyHolder.ts
+++ b/placement/residency/src/ResidencyHolder.ts
@@ -147,7 +147,7 @@
 
   private listUsable (service: string): Backend[] {
     const now = this.opts.clock.readTime()
-    const staying = this.opts.fleet.list(service).filter((backend) => backend.isStaying(now))
+    const staying = this.opts.fleet.list(service).filter((backend) => backend.isAvailable(now))
     return staying.filter((backend) => !backend.outlier.isEjected(now))
   }
 
--- a/placement/residency/src/ResidencyService.ts
+++ b/placement/residency/src/ResidencyService.ts
@@ -200,11 +200,11 @@
     const { model, adapter, present } = change
     const backend = this.opts.fleet.find(change.backend)
     if (adapter !== undefined) {
-      backend?.noteAdapter(model, adapter, present)
+      backend?.recordAdapter(model, adapter, present)
     } else if (backend) {
-      backend.noteModel(model, present)
+      backend.recordModel(model, present)
       // The override expires in case the holder fails before it can revert the change; the server's entry is up to date by then.
-      this.opts.clock.setTimer(CHANGE_OVERRIDE_MS, () => backend.forgetModelChange(model))
+      this.opts.clock.setTimer(CHANGE_OVERRIDE_MS, () => backend.discardModelOverride(model))
     }
     this.opts.onChange()
   }
--- a/placement/residency/src/ServerLoads.ts
+++ b/placement/residency/src/ServerLoads.ts
@@ -134,9 +134,9 @@
       onDisk: backend.entry.onDisk,
       ...load ? { loading: load.model } : {},
       busyMs: this.estimateBusyMs(backend.id),
-      limitPerSecond: backend.stated.limit.perSecond,
+      limitPerSecond: backend.reported.limit.perSecond,
       recentlyLoaded: loadedAt.filter(([, at]) => at > now - MIN_RESIDENCE_MS).map(([model]) => model),
-      holdOffMs: Math.max(backend.stated.backoff.readLeftMs(now), this.readHoldOff(backend.id) - now),
+      holdOffMs: Math.max(backend.reported.backoff.readRemainingMs(now), this.readHoldOff(backend.id) - now),
       running: backend.readLoad().running,
     }
   }
@@ -167,7 +167,7 @@
   /** Loads an adapter on the least busy server that has its model and hasn't requested a pause. */
   async ensureAdapter (it: AdapterRequest): Promise<void> {
     const now = this.opts.clock.readTime()
-    const available = it.servers.filter((server) => !server.stated.backoff.isActive(now))
+    const available = it.servers.filter((server) => !server.reported.backoff.isActive(now))
     const [backend] = available.sort((a, b) => this.rankForAdapter(a) - this.rankForAdapter(b))
     if (!backend) return
     const orders = this.findOrders(backend)
--- a/program/entry/src/createGateway.ts
+++ b/program/entry/src/createGateway.ts
@@ -6,7 +6,7 @@
 import { isServing, type InstanceMesh } from '@pulleystack/membership.mesh'
 import type { PeerNetwork } from '@pulleystack/membership.peers'
 import type { ResidencyService } from '@pulleystack/placement.residency'
-import type { BackendFleet, StatementIntake } from '@pulleystack/routing.fleet'
+import type { BackendFleet, ServerReports } from '@pulleystack/routing.fleet'
 import { BackendAgent, ServerProbe } from '@pulleystack/routing.forward'
 import { CountedLimits, PooledLimits, type TeamLimits } from '@pulleystack/routing.limits'
 import { LoneRunRule, Quarantine } from '@pulleystack/routing.quarantine'
@@ -27,7 +27,7 @@
   relay: InstanceRelay
   limits: TeamLimits | undefined
   quarantine: Quarantine
-  statements: StatementIntake
+  statements: ServerReports
   metrics: EntryMetrics
   readTable: () => RouteTable | undefined
   isTableCurrent: () => boolean
@@ -53,7 +53,7 @@
     relay: parts.relay,
     queue,
     fleet,
-    statements,
+    reports: statements,
     pace: new StreamPace(clock),
     residency,
     findBudget: (service) => budgets.find(service),
--- a/program/entry/src/startEntry.ts
+++ b/program/entry/src/startEntry.ts
@@ -125,7 +125,7 @@
   const peerPort = await network.start()
   mesh.self.peerAddress = `${parseAddress(settings.peerAddress).host}:${peerPort}`
   mesh.start(ended.signal)
-  shareLoads({ clock, network, fleet, countReaders: () => mesh.listServing().length, onChange: () => queue.pump() }, ended.signal)
+  shareLoads({ clock, network, fleet, countRecipients: () => mesh.listServing().length, onChange: () => queue.pump() }, ended.signal)
   residency.start(ended.signal)
   limits?.start(ended.signal)
   quarantine.start(ended.signal)
--- a/program/entry/src/startStatements.ts
+++ b/program/entry/src/startStatements.ts
@@ -1,6 +1,6 @@
 import { isServing, type InstanceMesh } from '@pulleystack/membership.mesh'
 import type { PeerNetwork } from '@pulleystack/membership.peers'
-import { StatementIntake, StatementSources, shareDepartures, shareLimits, type BackendFleet } from '@pulleystack/routing.fleet'
+import { ServerReports, ReportSources, shareDrainingServers, shareLimits, type BackendFleet } from '@pulleystack/routing.fleet'
 import type { EntryParts } from './EntryParts.js'
 
 export interface StatementsParts extends EntryParts {
@@ -12,16 +12,16 @@
 }
 
 /** Takes what backend servers say of themselves in any answer, until the signal ends. */
-export function startStatements ({ deps, clock, log, fleet, network, mesh, onLimit }: StatementsParts, signal: AbortSignal): StatementIntake {
-  const statements = new StatementIntake({ clock, log, fleet })
-  shareDepartures({ network, fleet }, signal)
+export function startStatements ({ deps, clock, log, fleet, network, mesh, onLimit }: StatementsParts, signal: AbortSignal): ServerReports {
+  const statements = new ServerReports({ clock, log, fleet })
+  shareDrainingServers({ network, fleet }, signal)
   const listStandby = (): string[] => isServing(mesh.self) ? mesh.listLive().filter(({ standby }) => standby).map(({ instance }) => instance) : []
-  shareLimits({ clock, network, fleet, listStandby, onNews: (told) => statements.noteTold(told) }, signal)
+  shareLimits({ clock, network, fleet, listStandby, onPeerLimit: (told) => statements.recordPeerLimit(told) }, signal)
   const limits = fleet.limitChanges.subscribe(onLimit)
   const subscription = deps.weights.statements.subscribe(({ target, call, statement }) => {
     const backend = fleet.find(target.backendId)
-    const source = call === 'order' ? StatementSources.ORDER : StatementSources.REPORT
-    if (backend?.entry.address === target.address) statements.take(backend, statement, source)
+    const source = call === 'order' ? ReportSources.ORDER : ReportSources.REPORT
+    if (backend?.entry.address === target.address) statements.apply(backend, statement, source)
   })
   signal.addEventListener('abort', () => {
     limits.unsubscribe()
--- a/program/entry/src/watchSources.ts
+++ b/program/entry/src/watchSources.ts
@@ -3,7 +3,7 @@
 import { RouteTable } from '@pulleystack/config.routes'
 import type { Clock, RandomSource } from '@pulleystack/core.clock'
 import type { PeerNetwork } from '@pulleystack/membership.peers'
-import { BackendDirectory, shareRevived, type BackendFleet } from '@pulleystack/routing.fleet'
+import { BackendDirectory, shareStaleServers, type BackendFleet } from '@pulleystack/routing.fleet'
 import { DecisionKinds, type DecisionLog } from '@pulleystack/timeline.decisions'
 import type { EntrySources } from './EntrySources.js'
 import { UnreadableEntries } from './UnreadableEntries.js'
@@ -60,22 +60,22 @@
   })
   opts.signal.addEventListener('abort', () => noteChange.unsubscribe(), { once: true })
   const unreadable = new UnreadableEntries(opts.clock, log)
-  const directory = new BackendDirectory({ clock: opts.clock, fleet, readSettledMs: () => feed.settledMs })
-  const tellRevived = shareRevived({ network: opts.network, directory }, opts.signal)
+  const directory = new BackendDirectory({ clock: opts.clock, fleet, readMsSinceRecovery: () => feed.settledMs })
+  const tellRevived = shareStaleServers({ network: opts.network, directory }, opts.signal)
   const take = (object: StoredObject): void => {
     const entry = sources.readBackend(object)
     if (entry) {
       directory.put(entry, object.version)
       return
     }
-    directory.drop(readName(sources.backendPrefix, object))
+    directory.removeUnreadable(readName(sources.backendPrefix, object))
     unreadable.note({ key: object.key, revision: readRevision(object.version) })
   }
   const feed: StoreFeed = follow(opts, sources.backendPrefix, {
     onListing: (objects, { version, isRestored }) => {
-      if (isRestored) directory.noteRestored(version)
+      if (isRestored) directory.handleRestore(version)
       objects.forEach(take)
-      directory.keepOnly(new Set(objects.map((object) => readName(sources.backendPrefix, object))))
+      directory.removeAllExcept(new Set(objects.map((object) => readName(sources.backendPrefix, object))))
       if (isRestored) tellRevived()
     },
     onChanges: (changes) => changes.forEach((change) => {
--- a/program/instance/src/createRouted.ts
+++ b/program/instance/src/createRouted.ts
@@ -10,7 +10,7 @@
 import { BackendQueue, RoutedGateway, StreamPace, SuspectGate } from '@pulleystack/gateway.routed'
 import { hashAccessKey } from '@pulleystack/core.hashing'
 import { ResidencyClient, type NeedAnswer } from '@pulleystack/placement.residency'
-import { BackendFleet, StatementIntake, type BackendEntry } from '@pulleystack/routing.fleet'
+import { BackendFleet, ServerReports, type BackendEntry } from '@pulleystack/routing.fleet'
 import { BackendAgent, ServerProbe } from '@pulleystack/routing.forward'
 import { LoneRunRule, Quarantine } from '@pulleystack/routing.quarantine'
 import { RetryBudgets } from '@pulleystack/routing.retries'
@@ -62,7 +62,7 @@
     protocol: new OwnRoutedProtocol(),
     queue,
     fleet,
-    statements: new StatementIntake({ clock, log, fleet }),
+    reports: new ServerReports({ clock, log, fleet }),
     pace: new StreamPace(clock),
     residency,
     findBudget: (service) => budgets.find(service),
--- a/routing/fleet/src/AdvertisedLimit.ts
+++ b/routing/fleet/src/AdvertisedLimit.ts
@@ -2,10 +2,10 @@
 export interface LimitReport {
   /** Requests per second from all instances together; undefined if the server advertises no limit. */
   perSecond: number | undefined
-  saidAfter: number
-  saidBefore: number
+  reportedAfter: number
+  reportedBefore: number
   /** The peer that received the report; undefined if this instance did. */
-  heardBy?: string | undefined
+  receivedBy?: string | undefined
 }
 
 /**
@@ -13,7 +13,7 @@
  * and if the order is unknown the stricter limit applies.
  */
 export class AdvertisedLimit {
-  private current: LimitReport = { perSecond: undefined, saidAfter: -Infinity, saidBefore: -Infinity }
+  private current: LimitReport = { perSecond: undefined, reportedAfter: -Infinity, reportedBefore: -Infinity }
 
   /** Requests per second from all instances together; undefined if the server advertises no limit. */
   get perSecond (): number | undefined {
@@ -21,24 +21,24 @@
   }
 
   /** The report that set the current limit. */
-  get statement (): Readonly<LimitReport> {
+  get report (): Readonly<LimitReport> {
     return this.current
   }
 
   /** Returns whether the limit in force changed. */
   update (report: LimitReport): boolean {
     const { current } = this
-    if (report.saidBefore < current.saidAfter) return false
+    if (report.reportedBefore < current.reportedAfter) return false
     const previous = current.perSecond
     if (report.perSecond === previous) this.current = mergeTimes(current, report)
-    else if (report.saidAfter >= current.saidBefore || isStricter(report.perSecond, previous)) this.current = report
+    else if (report.reportedAfter >= current.reportedBefore || isStricter(report.perSecond, previous)) this.current = report
     return this.perSecond !== previous
   }
 }
 
 /** Combines two reports of the same limit, keeping the later times. */
 function mergeTimes (first: LimitReport, second: LimitReport): LimitReport {
-  return { ...first, saidAfter: Math.max(first.saidAfter, second.saidAfter), saidBefore: Math.max(first.saidBefore, second.saidBefore) }
+  return { ...first, reportedAfter: Math.max(first.reportedAfter, second.reportedAfter), reportedBefore: Math.max(first.reportedBefore, second.reportedBefore) }
 }
 
 function isStricter (first: number | undefined, second: number | undefined): boolean {
--- a/routing/fleet/src/Backend.ts
+++ b/routing/fleet/src/Backend.ts
@@ -3,7 +3,7 @@
 import { NO_LOAD, sumTallies, type LoadTally } from './LoadTally.js'
 import { PrefixTracker } from './PrefixTracker.js'
 import { PrefillShare } from './PrefillShare.js'
-import { StatedFacts } from './StatedFacts.js'
+import { ReportedStatus } from './ReportedStatus.js'
 
 const DEFAULT_CACHE_TOKENS = 200_000
 const INITIAL_CONNECT_BACKOFF_MS = 400
@@ -14,7 +14,7 @@
 /** A backend server as seen by this instance. */
 export class Backend {
   /** Load from requests of this instance. */
-  readonly own: LoadTally = { ...NO_LOAD }
+  readonly ownLoad: LoadTally = { ...NO_LOAD }
   /** Load reported by other instances, by instance. The sum is cached because it is read for every request. */
   private readonly peerLoads = new Map<string, LoadTally>()
   private peerLoadSum = NO_LOAD
@@ -34,7 +34,7 @@
 
   private effectiveEntry: BackendEntry
 
-  constructor (entry: BackendEntry, readonly stated = new StatedFacts({ id: entry.id, startedAt: entry.startedAt })) {
+  constructor (entry: BackendEntry, readonly reported = new ReportedStatus({ id: entry.id, startedAt: entry.startedAt })) {
     this.effectiveEntry = this.mergeReported(entry)
   }
 
@@ -44,7 +44,7 @@
   }
 
   /** Whether the server is reachable and not draining. */
-  isStaying (now: number): boolean {
+  isAvailable (now: number): boolean {
     return !this.effectiveEntry.draining && this.isReachable(now)
   }
 
@@ -54,7 +54,7 @@
   }
 
   /** Excludes the server after a failed connection attempt, with exponential backoff. */
-  noteUnreachable (now: number): void {
+  recordUnreachable (now: number): void {
     if (now < this.connectBackoffUntil) return
     this.connectBackoffUntil = now + Math.min(MAX_CONNECT_BACKOFF_MS, INITIAL_CONNECT_BACKOFF_MS * 2 ** this.connectFailures)
     this.connectFailures++
@@ -62,11 +62,11 @@
 
   /** Records that another instance failed to connect. */
   recordUnreachableFromPeer (now: number): void {
-    if (now - this.lastReachedAt > RECENT_CONTACT_MS) this.noteUnreachable(now)
+    if (now - this.lastReachedAt > RECENT_CONTACT_MS) this.recordUnreachable(now)
   }
 
   /** Records a response of the server. */
-  noteReached (now: number): void {
+  recordReached (now: number): void {
     this.connectFailures = 0
     this.connectBackoffUntil = -Infinity
     this.lastReachedAt = now
@@ -78,7 +78,7 @@
 
   /** Load from the requests of all instances. */
   readLoad (): LoadTally {
-    return sumTallies([this.own, this.peerLoadSum])
+    return sumTallies([this.ownLoad, this.peerLoadSum])
   }
 
   /** Replaces the load that another instance reported; undefined for none. */
@@ -96,17 +96,17 @@
   }
 
   /** Overrides whether the model is available until the server's entry agrees; false once it takes no new requests before being unloaded. */
-  noteModel (model: string, present: boolean): void {
+  recordModel (model: string, present: boolean): void {
     this.modelOverrides.set(model, present)
   }
 
   /** Discards the override, so that only the server's entry decides. */
-  forgetModelChange (model: string): void {
+  discardModelOverride (model: string): void {
     this.modelOverrides.delete(model)
   }
 
   /** Overrides whether the adapter is available until the server's entry shows it. */
-  noteAdapter (model: string, adapter: string, present: boolean): void {
+  recordAdapter (model: string, adapter: string, present: boolean): void {
     const overrides = this.adapterOverrides.get(model) ?? new Map<string, boolean>()
     overrides.set(adapter, present)
     this.adapterOverrides.set(model, overrides)
@@ -125,6 +125,6 @@
 
   // An entry may lag behind the server's own announcement that it is draining.
   private mergeReported (entry: BackendEntry): BackendEntry {
-    return this.stated.isDraining && !entry.draining ? { ...entry, draining: true } : entry
+    return this.reported.isDraining && !entry.draining ? { ...entry, draining: true } : entry
   }
 }
--- a/routing/fleet/src/BackendDirectory.ts
+++ b/routing/fleet/src/BackendDirectory.ts
@@ -22,7 +22,7 @@
   clock: Clock
   fleet: BackendFleet
   /** Milliseconds since the store became available again; 0 during an outage. */
-  readSettledMs: () => number
+  readMsSinceRecovery: () => number
 }
 
 /**
@@ -46,7 +46,7 @@
   constructor (private readonly opts: BackendDirectoryOptions) {}
 
   /** Handles a restore of the store from an older snapshot, whose entries have versions up to the given one. */
-  noteRestored (version: number): void {
+  handleRestore (version: number): void {
     this.unconfirmedEntries.clear()
     this.cancelRestoreTimer?.()
     this.cancelRestoreTimer = undefined
@@ -82,14 +82,14 @@
   }
 
   /** Removes a server whose entry can't be read. */
-  drop (id: string): void {
+  removeUnreadable (id: string): void {
     this.cancelRemoval(id)
     this.unconfirmedEntries.delete(id)
     this.removeNow(id)
   }
 
   /** Removes all servers that the store doesn't list. */
-  keepOnly (listed: ReadonlySet<string>): void {
+  removeAllExcept (listed: ReadonlySet<string>): void {
     for (const { id } of this.opts.fleet.listAll()) {
       if (!listed.has(id)) this.remove(id)
     }
@@ -99,8 +99,8 @@
   remove (id: string): void {
     this.unconfirmedEntries.delete(id)
     if (this.pendingRemovals.has(id)) return
-    const { clock, fleet, readSettledMs } = this.opts
-    const graceMs = REPUBLISH_GRACE_MS - readSettledMs()
+    const { clock, fleet, readMsSinceRecovery } = this.opts
+    const graceMs = REPUBLISH_GRACE_MS - readMsSinceRecovery()
     if (graceMs <= 0 || fleet.find(id)?.entry.draining) {
       this.removeNow(id)
       return
--- a/routing/fleet/src/BackendEntry.ts
+++ b/routing/fleet/src/BackendEntry.ts
@@ -26,9 +26,9 @@
 }
 
 /** Identifies an incarnation of a server: one run of its process. */
-export type ServerLife = Pick<BackendEntry, 'id' | 'startedAt'>
+export type ServerIncarnation = Pick<BackendEntry, 'id' | 'startedAt'>
 
-export function nameLife ({ id, startedAt }: ServerLife): string {
+export function formatIncarnation ({ id, startedAt }: ServerIncarnation): string {
   return startedAt === undefined ? id : `${id}@${startedAt}`
 }
 
--- a/routing/fleet/src/BackendFleet.ts
+++ b/routing/fleet/src/BackendFleet.ts
@@ -1,11 +1,11 @@
 import { Subject, type Observable } from 'rxjs'
 import { Backend } from './Backend.js'
-import { nameLife, type BackendEntry, type ServerLife } from './BackendEntry.js'
+import { formatIncarnation, type BackendEntry, type ServerIncarnation } from './BackendEntry.js'
 import type { LoadTally } from './LoadTally.js'
 import type { LimitReport } from './AdvertisedLimit.js'
 import type { PromptPart } from './PrefixTracker.js'
 import type { PauseSample } from './PrefillShare.js'
-import { ReportedStatusCache, type StatedFacts } from './StatedFacts.js'
+import { ReportedStatusCache, type ReportedStatus } from './ReportedStatus.js'
 import { WaitingCounts } from './WaitingCounts.js'
 
 export interface FleetChange {
@@ -15,7 +15,7 @@
 
 /** A change of the limit in force at a server. */
 export interface LimitChange {
-  life: ServerLife
+  incarnation: ServerIncarnation
   /** Whether the server reported it to this instance rather than to a peer. */
   isLocal: boolean
   /** Whether more requests may be sent than before. */
@@ -24,8 +24,8 @@
 
 /** The newest limit reported by an incarnation of a server. */
 export interface IncarnationLimit {
-  life: ServerLife
-  statement: LimitReport
+  incarnation: ServerIncarnation
+  report: LimitReport
 }
 
 /** The part of a processed prompt that other requests may share. */
@@ -41,7 +41,7 @@
 export class BackendFleet {
   readonly waiting = new WaitingCounts()
   /** Monotonic time in milliseconds at which a peer last reported a limit in force. */
-  limitsToldAt = -Infinity
+  peerLimitsReceivedAt = -Infinity
   private readonly backends = new Map<string, Backend>()
   private readonly byService = new Map<string, Backend[]>()
   private readonly changeSubject = new Subject<FleetChange>()
@@ -52,7 +52,7 @@
   private readonly serversLoadedByPeer = new Map<string, string[]>()
   private readonly loadSubject = new Subject<void>()
   private readonly reportedStatuses = new ReportedStatusCache()
-  private readonly drainingSubject = new Subject<ServerLife>()
+  private readonly drainingSubject = new Subject<ServerIncarnation>()
   private readonly limitSubject = new Subject<LimitChange>()
   /** Servers that advertise a limit, by id. */
   private readonly limitedBackends = new Map<string, Backend>()
@@ -67,7 +67,7 @@
   }
 
   /** Records that a server processes these parts of a prompt, and queues new shared prefixes for the other instances. */
-  notePrefix (backend: Backend, weights: string, parts: readonly PromptPart[]): void {
+  recordPrefix (backend: Backend, weights: string, parts: readonly PromptPart[]): void {
     // The last part belongs to a single request or session and isn't shared.
     const shared = parts.slice(0, -1)
     const sharedTokens = shared.reduce((sum, part) => sum + part.tokens, 0)
@@ -77,7 +77,7 @@
   }
 
   /** Records whether a request to a server failed, and queues it for the other instances. */
-  noteOutcome (backend: Backend, failed: boolean, now: number): void {
+  recordOutcome (backend: Backend, failed: boolean, now: number): void {
     const failures = failed ? 1 : 0
     backend.failureRate.add(failures, 1, now)
     const pending = this.pendingOutcomes.get(backend.id) ?? { failures: 0, total: 0 }
@@ -85,7 +85,7 @@
   }
 
   /** Records the longest pause of a stream as a share of the route's allowed maximum, and queues it for the other instances. */
-  notePause (backend: Backend, share: number, now: number): void {
+  recordPause (backend: Backend, share: number, now: number): void {
     backend.prefillShare.addSample({ maxShare: share, streams: 1 }, now)
     const pending = this.pendingPauses.get(backend.id) ?? { maxShare: 0, streams: 0 }
     this.pendingPauses.set(backend.id, { maxShare: Math.max(pending.maxShare, share), streams: pending.streams + 1 })
@@ -111,7 +111,7 @@
   }
 
   /** Must be called after each change of a server's own load. */
-  noteLoadChange (): void {
+  announceLoadChange (): void {
     this.loadSubject.next()
   }
 
@@ -156,37 +156,37 @@
   }
 
   /** Emits servers that announced to this instance that they drain. */
-  get drainingServers (): Observable<ServerLife> {
+  get drainingServers (): Observable<ServerIncarnation> {
     return this.drainingSubject
   }
 
   /** Draining incarnations, whichever instance they reported it to, newest first. */
-  listDraining (limit: number): ServerLife[] {
+  listDraining (limit: number): ServerIncarnation[] {
     return this.reportedStatuses.listDraining(limit)
   }
 
   /** Records that the server announced to this instance that it drains; returns whether this is new. */
-  recordDraining ({ stated }: Backend): boolean {
-    if (!this.applyDrainingFromPeer(stated.life)) return false
-    this.drainingSubject.next(stated.life)
+  recordDraining ({ reported }: Backend): boolean {
+    if (!this.applyDrainingFromPeer(reported.incarnation)) return false
+    this.drainingSubject.next(reported.incarnation)
     return true
   }
 
   /** Records that an incarnation drains, whether or not its entry is known; returns whether this is new. */
-  applyDrainingFromPeer (incarnation: ServerLife): boolean {
+  applyDrainingFromPeer (incarnation: ServerIncarnation): boolean {
     const status = this.findStatus(incarnation)
     if (status.isDraining) return false
     status.isDraining = true
     this.reportedStatuses.put(status)
     const existing = this.backends.get(incarnation.id)
-    if (existing?.stated === status) this.put(existing.entry)
+    if (existing?.reported === status) this.put(existing.entry)
     return true
   }
 
   /** Records that the server asked this instance to back off for the given milliseconds; returns whether this extends the backoff. */
-  noteRetryAfter ({ stated }: Backend, ms: number, now: number): boolean {
-    if (!stated.backoff.extend(ms, now)) return false
-    this.reportedStatuses.put(stated)
+  recordRetryAfter ({ reported }: Backend, ms: number, now: number): boolean {
+    if (!reported.backoff.extend(ms, now)) return false
+    this.reportedStatuses.put(reported)
     return true
   }
 
@@ -196,22 +196,22 @@
   }
 
   /** Limits currently advertised by servers. */
-  listLimited (): IncarnationLimit[] {
-    return [...this.limitedBackends.values()].map(({ stated: { life, limit } }) => ({ life, statement: limit.statement }))
+  listLimits (): IncarnationLimit[] {
+    return [...this.limitedBackends.values()].map(({ reported: { incarnation, limit } }) => ({ incarnation, report: limit.report }))
   }
 
   /** The newest limit reported by an incarnation. */
-  findLimit (incarnation: ServerLife): LimitReport {
-    return this.findStatus(incarnation).limit.statement
+  findLimit (incarnation: ServerIncarnation): LimitReport {
+    return this.findStatus(incarnation).limit.report
   }
 
   /** Records a limit, or its absence, that the server reported to this instance; returns whether the limit in force changed. */
-  noteLimit ({ stated }: Backend, report: LimitReport): boolean {
-    return this.updateLimit(stated, report, true)
+  recordLimit ({ reported }: Backend, report: LimitReport): boolean {
+    return this.updateLimit(reported, report, true)
   }
 
   /** Applies a limit that an incarnation reported to another instance, whether or not its entry is known; returns whether the limit in force changed. */
-  applyLimitFromPeer (incarnation: ServerLife, report: LimitReport): boolean {
+  applyLimitFromPeer (incarnation: ServerIncarnation, report: LimitReport): boolean {
     return this.updateLimit(this.findStatus(incarnation), report, false)
   }
 
@@ -233,25 +233,27 @@
     this.serversLoadedByPeer.set(instance, [...loads.keys()])
   }
 
-  private updateLimit (status: StatedFacts, report: LimitReport, isLocal: boolean): boolean {
+  private updateLimit (status: ReportedStatus, report: LimitReport, isLocal: boolean): boolean {
     const previous = status.limit.perSecond ?? Infinity
     if (!status.limit.update(report)) return false
     this.reportedStatuses.put(status)
-    const existing = this.backends.get(status.life.id)
+    const existing = this.backends.get(status.incarnation.id)
     if (existing) this.updateLimited(existing)
-    this.limitSubject.next({ life: status.life, isLocal, isRaised: (status.limit.perSecond ?? Infinity) > previous })
+    this.limitSubject.next({ incarnation: status.incarnation, isLocal, isRaised: (status.limit.perSecond ?? Infinity) > previous })
     return true
   }
 
   private updateLimited (backend: Backend): void {
-    if (backend.stated.limit.perSecond === undefined) this.limitedBackends.delete(backend.id)
+    if (backend.reported.limit.perSecond === undefined) this.limitedBackends.delete(backend.id)
     else this.limitedBackends.set(backend.id, backend)
   }
 
   /** Self-reported status of an incarnation, whether or not its entry is known. */
-  private findStatus (incarnation: ServerLife): StatedFacts {
+  private findStatus (incarnation: ServerIncarnation): ReportedStatus {
     const existing = this.backends.get(incarnation.id)
-    return existing !== undefined && nameLife(existing.entry) === nameLife(incarnation) ? existing.stated : this.reportedStatuses.find(incarnation)
+    return existing !== undefined && formatIncarnation(existing.entry) === formatIncarnation(incarnation)
+      ? existing.reported
+      : this.reportedStatuses.find(incarnation)
   }
 
   private rebuildService (service: string): void {
--- a/routing/fleet/src/PermitPool.ts
+++ b/routing/fleet/src/PermitPool.ts
@@ -3,11 +3,11 @@
   /** Expiry times in ascending order. */
   private readonly expiries: number[] = []
   /** When more permits are expected; in the past if unknown. */
-  expectedAt = -Infinity
+  nextExpectedAt = -Infinity
   /** Whether a request for more permits is pending. */
-  isAsking = false
+  hasPendingRequest = false
   /** Earliest time to request more permits again. */
-  askAgainAt = -Infinity
+  nextRequestAt = -Infinity
 
   count (now: number): number {
     return this.expiries.filter((until) => until > now).length
@@ -27,7 +27,7 @@
   }
 
   /** Drops expired permits; returns their number. */
-  dropOverdue (now: number): number {
+  dropExpired (now: number): number {
     const firstValid = this.expiries.findIndex((until) => until > now)
     return this.expiries.splice(0, firstValid < 0 ? this.expiries.length : firstValid).length
   }
--- a/routing/fleet/src/StatedFacts.ts
+++ b/routing/fleet/src/ReportedStatus.ts
@@ -1,5 +1,5 @@
 import { LRUCache } from 'lru-cache'
-import { nameLife, type ServerLife } from './BackendEntry.js'
+import { formatIncarnation, type ServerIncarnation } from './BackendEntry.js'
 import { AdvertisedLimit } from './AdvertisedLimit.js'
 import { PermitPool } from './PermitPool.js'
 import { ServerBackoff } from './ServerBackoff.js'
@@ -8,7 +8,7 @@
 const MAX_INCARNATIONS = 4_096
 
 /** Self-reported status of one incarnation of a server. It takes precedence over the server's entry, which lags during store outages. */
-export class StatedFacts {
+export class ReportedStatus {
   /** Whether it announced that it drains, to any instance. Draining is final: a restarted server is another incarnation. */
   isDraining = false
   /** Backoff requested from this instance only. */
@@ -18,24 +18,24 @@
   /** Permits for requests while a limit is advertised. */
   readonly permits = new PermitPool()
 
-  constructor (readonly life: ServerLife) {}
+  constructor (readonly incarnation: ServerIncarnation) {}
 }
 
 /** Status of servers by incarnation. It is kept while a server has no entry, since entries may expire and reappear during store outages. */
 export class ReportedStatusCache {
-  private readonly byIncarnation = new LRUCache<string, StatedFacts>({ max: MAX_INCARNATIONS })
+  private readonly byIncarnation = new LRUCache<string, ReportedStatus>({ max: MAX_INCARNATIONS })
 
   /** Returns the known status of an incarnation, or an empty one. */
-  find (incarnation: ServerLife): StatedFacts {
-    return this.byIncarnation.get(nameLife(incarnation)) ?? new StatedFacts({ id: incarnation.id, startedAt: incarnation.startedAt })
+  find (incarnation: ServerIncarnation): ReportedStatus {
+    return this.byIncarnation.get(formatIncarnation(incarnation)) ?? new ReportedStatus({ id: incarnation.id, startedAt: incarnation.startedAt })
   }
 
-  put (status: StatedFacts): void {
-    this.byIncarnation.set(nameLife(status.life), status)
+  put (status: ReportedStatus): void {
+    this.byIncarnation.set(formatIncarnation(status.incarnation), status)
   }
 
   /** Draining incarnations, newest first. */
-  listDraining (limit: number): ServerLife[] {
-    return [...this.byIncarnation.values()].filter(({ isDraining }) => isDraining).slice(0, limit).map(({ life }) => life)
+  listDraining (limit: number): ServerIncarnation[] {
+    return [...this.byIncarnation.values()].filter(({ isDraining }) => isDraining).slice(0, limit).map(({ incarnation }) => incarnation)
   }
 }
--- a/routing/fleet/src/ServerBackoff.ts
+++ b/routing/fleet/src/ServerBackoff.ts
@@ -8,9 +8,9 @@
 const RESPONSES_UNTIL_UNLIMITED = 15
 
 /** A request sent under the ramp-up allowance. */
-export interface CreditUse {
+export interface RampUpRequest {
   /** Records that the server responds; returns whether more requests may follow. */
-  noteAnswered: () => boolean
+  recordResponse: () => boolean
   /** Ends the request; if there was no response, its allowance is returned. */
   end: () => void
 }
@@ -42,7 +42,7 @@
   }
 
   /** Remaining backoff in milliseconds; 0 if there is none. */
-  readLeftMs (now: number): number {
+  readRemainingMs (now: number): number {
     return Math.max(0, this.until - now)
   }
 
@@ -52,7 +52,7 @@
   }
 
   /** Uses the allowance for one request. */
-  take (): CreditUse {
+  takeAllowance (): RampUpRequest {
     const { backoffCount } = this
     let isSettled = false
     this.allowance--
@@ -64,7 +64,7 @@
       return true
     }
     return {
-      noteAnswered: () => {
+      recordResponse: () => {
         if (!settle(ALLOWANCE_PER_RESPONSE)) return false
         this.responseCount++
         if (this.responseCount >= RESPONSES_UNTIL_UNLIMITED) this.allowance = Infinity
--- a/routing/fleet/src/StatementIntake.ts
+++ b/routing/fleet/src/ServerReports.ts
@@ -6,13 +6,13 @@
 import type { PeerLimit } from './shareLimits.js'
 
 /** Where a server's status report was received. */
-export const StatementSources = {
+export const ReportSources = {
   REQUEST: 'request',
   ORDER: 'order',
   REPORT: 'report',
   PEER: 'peer',
 } as const
-export type ReportSource = typeof StatementSources[keyof typeof StatementSources]
+export type ReportSource = typeof ReportSources[keyof typeof ReportSources]
 
 /** Unreadable reports come with every response, so they are logged at this interval. */
 const LOG_INTERVAL_MS = 5_000
@@ -31,45 +31,45 @@
 }
 
 /** Processes the status that backend servers report in their responses. */
-export class StatementIntake {
+export class ServerReports {
   private unreadableCount = 0
   private unreadableLoggedAt = -Infinity
 
   constructor (private readonly opts: ServerReportsOptions) {}
 
   /** Processes the headers of a response. A response without a limit means that there is none, unless it may stem from another server or request. */
-  takeAnswer (backend: Backend, { statement, requestId, misdirected }: AnswerFacts, request: SentRequest): void {
+  applyResponse (backend: Backend, { statement, requestId, misdirected }: AnswerFacts, request: SentRequest): void {
     const isVerified = requestId === request.requestId && !misdirected
-    const saidAfter = isVerified ? request.sentAt : -Infinity
-    if (statement) this.take(backend, statement, StatementSources.REQUEST, saidAfter)
-    else if (isVerified) this.applyLimit(backend, undefined, StatementSources.REQUEST, saidAfter)
+    const reportedAfter = isVerified ? request.sentAt : -Infinity
+    if (statement) this.apply(backend, statement, ReportSources.REQUEST, reportedAfter)
+    else if (isVerified) this.applyLimit(backend, undefined, ReportSources.REQUEST, reportedAfter)
   }
 
   /**
-   * Applies a status report from the server's address, unless it names another server. `saidAfter` is the monotonic time in milliseconds after which the
+   * Applies a status report from the server's address, unless it names another server. `reportedAfter` is the monotonic time in milliseconds after which the
    * report was certainly made.
    */
-  take (backend: Backend, statement: ServerStatement, source: ReportSource, saidAfter = -Infinity): void {
+  apply (backend: Backend, statement: ServerStatement, source: ReportSource, reportedAfter = -Infinity): void {
     const { serverId, leaving, retryAfterMs, namesLimit, limitPerSecond, unreadable } = statement
     if (serverId !== undefined && serverId !== backend.id) return
     if (unreadable !== undefined) this.recordUnreadable(backend, unreadable)
-    if (limitPerSecond !== undefined || (!namesLimit && saidAfter > -Infinity)) this.applyLimit(backend, limitPerSecond, source, saidAfter)
+    if (limitPerSecond !== undefined || (!namesLimit && reportedAfter > -Infinity)) this.applyLimit(backend, limitPerSecond, source, reportedAfter)
     const { fleet, clock } = this.opts
     const isNewlyDraining = leaving && fleet.recordDraining(backend)
-    const isBackoffExtended = retryAfterMs !== undefined && fleet.noteRetryAfter(backend, retryAfterMs, clock.readTime())
+    const isBackoffExtended = retryAfterMs !== undefined && fleet.recordRetryAfter(backend, retryAfterMs, clock.readTime())
     if (!isNewlyDraining && !isBackoffExtended) return
     this.opts.log.record(DecisionKinds.BACKEND_STATED, { ...describeBackend(backend), source, leaving, retryAfterMs })
   }
 
   /** Logs a limit that a server reported to a peer. */
-  noteTold ({ life, from, perSecond }: PeerLimit): void {
-    const address = this.opts.fleet.find(life.id)?.entry.address
-    this.opts.log.record(DecisionKinds.LIMIT_CHANGED, { backend: life.id, address, source: StatementSources.PEER, peer: from, limitPerSecond: perSecond })
+  recordPeerLimit ({ incarnation, from, perSecond }: PeerLimit): void {
+    const address = this.opts.fleet.find(incarnation.id)?.entry.address
+    this.opts.log.record(DecisionKinds.LIMIT_CHANGED, { backend: incarnation.id, address, source: ReportSources.PEER, peer: from, limitPerSecond: perSecond })
   }
 
-  private applyLimit (backend: Backend, perSecond: number | undefined, source: ReportSource, saidAfter: number): void {
-    const report = { perSecond, saidAfter, saidBefore: this.opts.clock.readTime() }
-    if (!this.opts.fleet.noteLimit(backend, report)) return
+  private applyLimit (backend: Backend, perSecond: number | undefined, source: ReportSource, reportedAfter: number): void {
+    const report = { perSecond, reportedAfter, reportedBefore: this.opts.clock.readTime() }
+    if (!this.opts.fleet.recordLimit(backend, report)) return
     this.opts.log.record(DecisionKinds.LIMIT_CHANGED, { ...describeBackend(backend), source, limitPerSecond: perSecond })
   }
 
--- a/routing/fleet/src/WaitingCounts.ts
+++ b/routing/fleet/src/WaitingCounts.ts
@@ -17,7 +17,7 @@
     return this.own.get(name) ?? 0
   }
 
-  countElsewhere (name: string): number {
+  countAtPeers (name: string): number {
     let sum = 0
     for (const waiting of this.peers.values()) sum += waiting.get(name) ?? 0
     return sum
@@ -29,7 +29,7 @@
   }
 
   /** Replaces the counts of another instance. */
-  takeOther (instance: string, waiting: readonly [name: string, count: number][]): void {
+  applyPeerCounts (instance: string, waiting: readonly [name: string, count: number][]): void {
     if (waiting.length > 0) this.peers.set(instance, new Map(waiting))
     else this.peers.delete(instance)
   }
--- a/routing/fleet/src/chooseBackend.ts
+++ b/routing/fleet/src/chooseBackend.ts
@@ -22,11 +22,11 @@
   excluded: ReadonlySet<string>
   generation: GenerationDemand | undefined
   /** How many requests a server may have beyond its slots, as a share of the slots. */
-  queueShare: number
+  overcommitShare: number
   /** Most prompt tokens that a server may have yet to process, including this request's; an idle server accepts any prompt. */
-  readingLimit: number
+  prefillLimit: number
   /** Excludes servers that run a request during which a server crashed before. */
-  mustBeApart?: boolean
+  mustAvoidSuspects?: boolean
 }
 
 export const ChoiceFailures = {
@@ -41,14 +41,14 @@
   /** All servers with room require a permit, and none is available. */
   LIMITED: 'limited',
   /** Servers with the model have room, but one more prompt would delay the streams running there. */
-  READING: 'reading',
+  PREFILLING: 'reading',
 } as const
 export type ChoiceFailure = typeof ChoiceFailures[keyof typeof ChoiceFailures]
 
 export interface BackendChoice {
   backend: Backend
   /** Prompt tokens that are likely in the server's cache. */
-  keptTokens: number
+  cachedTokens: number
 }
 
 /** Capacity of the model servers of a service. */
@@ -74,20 +74,20 @@
 export function chooseBackend (opts: {
   backends: readonly Backend[]
   demand: BackendDemand
-  figures: ServingCapacity | undefined
+  capacity: ServingCapacity | undefined
   random: RandomSource
   now: number
   policy: Policy
   /** Called with the server that would have been chosen if a permit for it were available. */
-  onLacking?: (backend: Backend) => void
+  onPermitNeeded?: (backend: Backend) => void
 }): BackendChoice | ChoiceFailure {
   const { demand, now } = opts
-  const available = opts.backends.filter((backend) => backend.isStaying(now))
+  const available = opts.backends.filter((backend) => backend.isAvailable(now))
   if (available.length === 0) return ChoiceFailures.NO_BACKEND
   const { generation } = demand
   const holders = generation ? available.filter((backend) => backend.hasWeights(generation.model, generation.adapter)) : available
   if (holders.length === 0) return ChoiceFailures.NOT_RESIDENT
-  const ready = holders.filter((backend) => !backend.stated.backoff.isActive(now))
+  const ready = holders.filter((backend) => !backend.reported.backoff.isActive(now))
   if (ready.length === 0) return ChoiceFailures.BACKING_OFF
   const usable = listUsable(ready.map((backend) => ({ backend, outlier: backend.outlier, isSilent: () => false })), now).map((it) => it.backend)
   const untried = usable.filter((backend) => !demand.excluded.has(backend.id))
@@ -96,10 +96,10 @@
   const healthy = opts.policy.failureAvoidance ? dropFailing(untried, now) : untried
   const ratings = healthy.map((backend) => rateBackend(backend, opts))
   const eligible = ratings.filter((it) => typeof it === 'object')
-  if (eligible.length === 0) return ratings.includes(ChoiceFailures.READING) ? ChoiceFailures.READING : ChoiceFailures.FULL
+  if (eligible.length === 0) return ratings.includes(ChoiceFailures.PREFILLING) ? ChoiceFailures.PREFILLING : ChoiceFailures.FULL
   const best = findCheapest(eligible.filter((it) => !it.lacksPermit))
   const bestWithoutPermit = findCheapest(eligible.filter((it) => it.lacksPermit))
-  if (bestWithoutPermit && (!best || bestWithoutPermit.costMs < best.costMs)) opts.onLacking?.(bestWithoutPermit.backend)
+  if (bestWithoutPermit && (!best || bestWithoutPermit.costMs < best.costMs)) opts.onPermitNeeded?.(bestWithoutPermit.backend)
   return best ?? ChoiceFailures.LIMITED
 }
 
@@ -115,7 +115,7 @@
 
 interface RateOptions {
   demand: BackendDemand
-  figures: ServingCapacity | undefined
+  capacity: ServingCapacity | undefined
   random: RandomSource
   now: number
   policy: Policy
@@ -123,34 +123,34 @@
 
 /** Returns the cost in milliseconds of a server for the request, or why it can't take it. */
 function rateBackend (backend: Backend, opts: RateOptions): RatedBackend | ChoiceFailure {
-  const { demand, figures } = opts
+  const { demand, capacity } = opts
   const load = backend.readLoad()
-  if (demand.mustBeApart && load.suspects > 0) return ChoiceFailures.FULL
-  if (!backend.stated.backoff.hasAllowance()) return ChoiceFailures.FULL
-  const { limit, permits } = backend.stated
+  if (demand.mustAvoidSuspects && load.suspects > 0) return ChoiceFailures.FULL
+  if (!backend.reported.backoff.hasAllowance()) return ChoiceFailures.FULL
+  const { limit, permits } = backend.reported
   const lacksPermit = limit.perSecond !== undefined && permits.count(opts.now) === 0
-  const permitMs = lacksPermit ? Math.max(0, permits.expectedAt - opts.now) : 0
+  const permitMs = lacksPermit ? Math.max(0, permits.nextExpectedAt - opts.now) : 0
   const suspectMs = load.suspects * SUSPECT_PENALTY_MS
   const hallMs = backend.entry.dataHall === demand.dataHall ? 0 : OTHER_HALL_PENALTY_MS
   // A random fraction of a millisecond keeps instances from choosing the same one of several equal servers.
   const jitter = opts.random.readFraction()
-  if (!demand.generation || !figures) {
-    if (load.running >= backend.entry.slots * (1 + demand.queueShare)) return ChoiceFailures.FULL
+  if (!demand.generation || !capacity) {
+    if (load.running >= backend.entry.slots * (1 + demand.overcommitShare)) return ChoiceFailures.FULL
     const loadMs = load.running * 1000 / backend.entry.slots
-    return { backend, keptTokens: 0, lacksPermit, costMs: loadMs + hallMs + permitMs + suspectMs + jitter }
+    return { backend, cachedTokens: 0, lacksPermit, costMs: loadMs + hallMs + permitMs + suspectMs + jitter }
   }
   const { generation } = demand
   const weights = nameWeights(generation.model, generation.adapter)
-  const keptTokens = opts.policy.prefixAffinity ? backend.cachedPrefixes.countCachedTokens(weights, generation.parts) : 0
-  if (load.running >= figures.batchSlots) return ChoiceFailures.FULL
+  const cachedTokens = opts.policy.prefixAffinity ? backend.cachedPrefixes.countCachedTokens(weights, generation.parts) : 0
+  if (load.running >= capacity.batchSlots) return ChoiceFailures.FULL
   const neededTokens = generation.promptTokens + generation.outputTokens
-  if (load.running > 0 && load.cacheTokens + neededTokens > figures.cacheTokens * MAX_CACHE_SHARE) return ChoiceFailures.FULL
-  const uncachedTokens = generation.promptTokens - keptTokens
-  const readingLimit = demand.readingLimit * (opts.policy.learnedReading ? backend.prefillShare.value : 1)
+  if (load.running > 0 && load.cacheTokens + neededTokens > capacity.cacheTokens * MAX_CACHE_SHARE) return ChoiceFailures.FULL
+  const uncachedTokens = generation.promptTokens - cachedTokens
+  const prefillLimit = demand.prefillLimit * (opts.policy.learnedReading ? backend.prefillShare.value : 1)
   // A long prompt counts for at most half of the limit; otherwise a stream of short prompts would starve it.
-  if (load.prefillTokens > 0 && load.prefillTokens + Math.min(uncachedTokens, readingLimit / 2) > readingLimit) return ChoiceFailures.READING
+  if (load.prefillTokens > 0 && load.prefillTokens + Math.min(uncachedTokens, prefillLimit / 2) > prefillLimit) return ChoiceFailures.PREFILLING
   const prefillMs = uncachedTokens / PREFILL_TOKENS_PER_MS
   const queuedPrefillMs = load.prefillTokens / PREFILL_TOKENS_PER_MS
   const batchMs = load.running * (BATCH_MS_PER_REQUEST + prefillMs * PREFILL_DELAY_SHARE)
-  return { backend, keptTokens, lacksPermit, costMs: queuedPrefillMs + prefillMs + batchMs + hallMs + permitMs + suspectMs + jitter }
+  return { backend, cachedTokens, lacksPermit, costMs: queuedPrefillMs + prefillMs + batchMs + hallMs + permitMs + suspectMs + jitter }
 }
--- a/routing/fleet/src/shareDepartures.ts
+++ b/routing/fleet/src/shareDrainingServers.ts
@@ -1,14 +1,14 @@
 import { defineChannel, type PeerNetwork } from '@pulleystack/membership.peers'
-import type { ServerLife } from './BackendEntry.js'
+import type { ServerIncarnation } from './BackendEntry.js'
 import type { BackendFleet } from './BackendFleet.js'
 
 /** Draining incarnations of servers. A lost message isn't repeated, but the server reports it again in each response. */
-const DRAINING_SERVERS = defineChannel<ServerLife[]>('fleet.departures', { isOnce: true })
+const DRAINING_SERVERS = defineChannel<ServerIncarnation[]>('fleet.departures', { isOnce: true })
 /** Most incarnations sent over a new link, newest first; about 40 bytes each. */
 const MAX_SENT_ON_LINK = 256
 
 /** Announces servers that report to this instance that they drain to the other instances at once, and applies the announcements of others. */
-export function shareDepartures ({ network, fleet }: { network: PeerNetwork, fleet: BackendFleet }, signal: AbortSignal): void {
+export function shareDrainingServers ({ network, fleet }: { network: PeerNetwork, fleet: BackendFleet }, signal: AbortSignal): void {
   const subscriptions = [
     fleet.drainingServers.subscribe((incarnation) => {
       network.broadcast(DRAINING_SERVERS, [incarnation])
@@ -24,11 +24,11 @@
 }
 
 /** Skips invalid items, which a peer of another version may send. */
-function parseIncarnations (body: unknown): ServerLife[] {
+function parseIncarnations (body: unknown): ServerIncarnation[] {
   return Array.isArray(body) ? body.filter(isIncarnation) : []
 }
 
-function isIncarnation (item: unknown): item is ServerLife {
-  const { id, startedAt } = (item ?? {}) as Partial<Record<keyof ServerLife, unknown>>
+function isIncarnation (item: unknown): item is ServerIncarnation {
+  const { id, startedAt } = (item ?? {}) as Partial<Record<keyof ServerIncarnation, unknown>>
   return typeof id === 'string' && (startedAt === undefined || typeof startedAt === 'number')
 }
--- a/routing/fleet/src/shareLimits.ts
+++ b/routing/fleet/src/shareLimits.ts
@@ -1,11 +1,11 @@
 import type { Clock } from '@pulleystack/core.clock'
 import { defineChannel, type PeerNetwork } from '@pulleystack/membership.peers'
-import type { ServerLife } from './BackendEntry.js'
+import type { ServerIncarnation } from './BackendEntry.js'
 import type { BackendFleet, IncarnationLimit } from './BackendFleet.js'
 
 /** A limit that a server reported to the sender. */
 interface LimitItem {
-  life: ServerLife
+  life: ServerIncarnation
   perSecond: number | undefined
   /** Monotonic time of the sender in milliseconds after which it was reported; undefined if unknown. */
   saidAfter: number | undefined
@@ -24,7 +24,7 @@
 
 /** A limit reported to a peer. */
 export interface PeerLimit {
-  life: ServerLife
+  incarnation: ServerIncarnation
   from: string
   perSecond: number | undefined
 }
@@ -36,7 +36,7 @@
   /** Linked standby instances, which are linked to few serving instances and forward nothing. */
   listStandby: () => readonly string[]
   /** Called when a report from a peer changed a limit. */
-  onNews: (limit: PeerLimit) => void
+  onPeerLimit: (limit: PeerLimit) => void
 }
 
 /** Announces the limits that servers report to this instance to the other instances, and applies their announcements. */
@@ -44,12 +44,12 @@
   const { clock, network, fleet, listStandby } = opts
   const timers = new Set<() => void>()
   const buildNow = (limit: IncarnationLimit): LimitItem => buildItem(limit, clock.readTime())
-  const buildCurrent = (incarnation: ServerLife): LimitItem => buildNow({ life: incarnation, statement: fleet.findLimit(incarnation) })
-  const announce = (incarnation: ServerLife): void => {
+  const buildCurrent = (incarnation: ServerIncarnation): LimitItem => buildNow({ incarnation, report: fleet.findLimit(incarnation) })
+  const announce = (incarnation: ServerIncarnation): void => {
     network.broadcast(LIMITS, [buildCurrent(incarnation)])
   }
   const sendAllTo = (instances: readonly string[]): void => {
-    const limited = fleet.listLimited()
+    const limited = fleet.listLimits()
     if (limited.length === 0) return
     for (const instance of instances) network.send(instance, LIMITS, limited.map(buildNow))
   }
@@ -60,7 +60,7 @@
     }
   }
   void runStandbyUpdates()
-  const announceLater = (incarnation: ServerLife, ms: number): void => {
+  const announceLater = (incarnation: ServerIncarnation, ms: number): void => {
     const cancel = clock.setTimer(ms, () => {
       timers.delete(cancel)
       announce(incarnation)
@@ -68,17 +68,17 @@
     timers.add(cancel)
   }
   const subscriptions = [
-    fleet.limitChanges.subscribe(({ life, isLocal, isRaised }) => {
+    fleet.limitChanges.subscribe(({ incarnation, isLocal, isRaised }) => {
       if (!isLocal) {
-        for (const instance of listStandby()) network.send(instance, LIMITS, [buildCurrent(life)])
+        for (const instance of listStandby()) network.send(instance, LIMITS, [buildCurrent(incarnation)])
         return
       }
-      announce(life)
-      if (isRaised) REPEAT_DELAYS_MS.forEach((ms) => announceLater(life, ms))
+      announce(incarnation)
+      if (isRaised) REPEAT_DELAYS_MS.forEach((ms) => announceLater(incarnation, ms))
     }),
     network.receive(LIMITS).subscribe(({ from, body }) => {
       const limits = parseItems(body)
-      if (limits.some(({ perSecond }) => perSecond !== undefined)) fleet.limitsToldAt = clock.readTime()
+      if (limits.some(({ perSecond }) => perSecond !== undefined)) fleet.peerLimitsReceivedAt = clock.readTime()
       for (const limit of limits) applyLimit(opts, from, limit)
     }),
     network.peerEvents.subscribe((event) => {
@@ -91,14 +91,18 @@
   }, { once: true })
 }
 
-function buildItem ({ life, statement: { perSecond, saidAfter, saidBefore } }: IncarnationLimit, now: number): LimitItem {
-  return { life, perSecond, saidAfter: Number.isFinite(saidAfter) ? saidAfter : undefined, ageMs: now - saidBefore }
+function buildItem ({ incarnation, report: { perSecond, reportedAfter, reportedBefore } }: IncarnationLimit, now: number): LimitItem {
+  return { life: incarnation, perSecond, saidAfter: Number.isFinite(reportedAfter) ? reportedAfter : undefined, ageMs: now - reportedBefore }
 }
 
-function applyLimit ({ clock, network, fleet, onNews }: ShareLimitsOptions, from: string, { life: incarnation, perSecond, saidAfter, ageMs }: LimitItem): void {
-  const localSaidAfter = saidAfter === undefined ? undefined : network.convertTime(from, saidAfter)
-  const report = { perSecond, saidAfter: localSaidAfter ?? -Infinity, saidBefore: clock.readTime() - ageMs, heardBy: from }
-  if (fleet.applyLimitFromPeer(incarnation, report)) onNews({ life: incarnation, from, perSecond })
+function applyLimit (
+  { clock, network, fleet, onPeerLimit }: ShareLimitsOptions,
+  from: string,
+  { life: incarnation, perSecond, saidAfter, ageMs }: LimitItem,
+): void {
+  const localReportedAfter = saidAfter === undefined ? undefined : network.convertTime(from, saidAfter)
+  const report = { perSecond, reportedAfter: localReportedAfter ?? -Infinity, reportedBefore: clock.readTime() - ageMs, receivedBy: from }
+  if (fleet.applyLimitFromPeer(incarnation, report)) onPeerLimit({ incarnation, from, perSecond })
 }
 
 /** Skips invalid items, which a peer of another version may send. */
@@ -108,7 +112,7 @@
 
 function isLimitItem (item: unknown): item is LimitItem {
   const { life: incarnation, perSecond, saidAfter, ageMs } = (item ?? {}) as Partial<Record<keyof LimitItem, unknown>>
-  const { id, startedAt } = (incarnation ?? {}) as Partial<Record<keyof ServerLife, unknown>>
+  const { id, startedAt } = (incarnation ?? {}) as Partial<Record<keyof ServerIncarnation, unknown>>
   return typeof id === 'string' && [startedAt, perSecond, saidAfter].every(isOptionalNumber) && typeof ageMs === 'number' && ageMs >= 0
 }
 
--- a/routing/fleet/src/shareLoads.ts
+++ b/routing/fleet/src/shareLoads.ts
@@ -30,7 +30,7 @@
   network: PeerNetwork
   fleet: BackendFleet
   /** Number of instances that receive the messages. */
-  countReaders: () => number
+  countRecipients: () => number
   /** Called when another instance sent a message. */
   onChange: () => void
 }
@@ -46,7 +46,7 @@
     if (!network.broadcast(LOADS, buildLoads(fleet, opts.clock.readTime()))) schedule()
   }
   const schedule = (): void => {
-    cancel ??= opts.clock.setTimer(computeSendIntervalMs(opts.countReaders()), send)
+    cancel ??= opts.clock.setTimer(computeSendIntervalMs(opts.countRecipients()), send)
   }
   const subscriptions = [
     fleet.loadChanges.subscribe(schedule),
@@ -58,7 +58,7 @@
       if (event.kind !== 'heard') {
         linkedPeers.delete(event.instance)
         fleet.applyPeerLoads(event.instance, new Map())
-        fleet.waiting.takeOther(event.instance, [])
+        fleet.waiting.applyPeerCounts(event.instance, [])
       } else if (event.isNewLink || !linkedPeers.has(event.identity.instance)) {
         linkedPeers.add(event.identity.instance)
         schedule()
@@ -73,7 +73,7 @@
 
 function applyLoads (fleet: BackendFleet, from: string, shared: SharedLoads, now: number): void {
   fleet.applyPeerLoads(from, parseTallies(shared))
-  fleet.waiting.takeOther(from, shared.waiting)
+  fleet.waiting.applyPeerCounts(from, shared.waiting)
   for (const [backend, weights, parts] of shared.prefixes) fleet.find(backend)?.cachedPrefixes.record(weights, parts.map(([id, tokens]) => ({ id, tokens })))
   for (const [backend, failures, total] of shared.outcomes) fleet.find(backend)?.failureRate.add(failures, total, now)
   for (const [backend, maxShare, streams] of shared.pauses) fleet.find(backend)?.prefillShare.addSample({ maxShare, streams }, now)
@@ -99,10 +99,10 @@
 }
 
 function buildLoads (fleet: BackendFleet, now: number): SharedLoads {
-  const busy = fleet.listAll().filter((backend) => backend.own.running > 0)
+  const busy = fleet.listAll().filter((backend) => backend.ownLoad.running > 0)
   const down = fleet.listAll().filter((backend) => !backend.isReachable(now))
   return {
-    loads: busy.map(({ id, own }) => packTally(id, own)),
+    loads: busy.map(({ id, ownLoad }) => packTally(id, ownLoad)),
     waiting: fleet.waiting.listOwn(),
     down: down.map(({ id }) => id),
     outcomes: fleet.takePendingOutcomes(),
--- a/routing/fleet/src/shareRevived.ts
+++ b/routing/fleet/src/shareStaleServers.ts
@@ -12,7 +12,7 @@
 }
 
 /** Tells instances that start while the store is being restored which entries are out of date. The returned function sends this to all linked instances. */
-export function shareRevived ({ network, directory }: ShareStaleServersOptions, signal: AbortSignal): () => void {
+export function shareStaleServers ({ network, directory }: ShareStaleServersOptions, signal: AbortSignal): () => void {
   const sendTo = (instance: string): void => {
     const stale = directory.describeStaleServers()
     if (stale) network.send(instance, STALE_SERVERS, stale)
--- a/routing/fleet/test/AdvertisedLimit.test.ts
+++ b/routing/fleet/test/AdvertisedLimit.test.ts
@@ -6,7 +6,7 @@
 describe('advertised limit', () => {
   let limit: AdvertisedLimit
   const receive = (perSecond: number | undefined, sentAt: number, receivedAt: number): void => {
-    limit.update({ perSecond, saidAfter: sentAt, saidBefore: receivedAt })
+    limit.update({ perSecond, reportedAfter: sentAt, reportedBefore: receivedAt })
   }
 
   beforeEach(() => {
@@ -58,10 +58,10 @@
     fc.assert(fc.property(fc.array(arbitraryReport, { minLength: 1, maxLength: 30 }), (specs) => {
       limit = new AdvertisedLimit()
       // Reported every millisecond, in responses to requests sent 10 ms before, and received in any order.
-      const reports = specs.map(({ perSecond, delay }, at) => ({ perSecond, saidAfter: at - 10, saidBefore: at + delay }))
-      for (const report of reports.toSorted((a, b) => a.saidBefore - b.saidBefore)) limit.update(report)
+      const reports = specs.map(({ perSecond, delay }, at) => ({ perSecond, reportedAfter: at - 10, reportedBefore: at + delay }))
+      for (const report of reports.toSorted((a, b) => a.reportedBefore - b.reportedBefore)) limit.update(report)
       const last = specs.at(-1)?.perSecond
-      const lastReceivedAt = Math.max(...reports.map(({ saidBefore }) => saidBefore))
+      const lastReceivedAt = Math.max(...reports.map(({ reportedBefore }) => reportedBefore))
       receive(last, lastReceivedAt, lastReceivedAt + 10)
       assert.equal(limit.perSecond, last)
     }), { seed: 54 })
--- a/routing/fleet/test/BackendDirectory.test.ts
+++ b/routing/fleet/test/BackendDirectory.test.ts
@@ -20,14 +20,14 @@
     clock = new ManualClock()
     fleet = new BackendFleet()
     msSinceRecovery = LONG_RECOVERED_MS
-    directory = new BackendDirectory({ clock, fleet, readSettledMs: () => msSinceRecovery })
+    directory = new BackendDirectory({ clock, fleet, readMsSinceRecovery: () => msSinceRecovery })
     directory.put(createEntry('r1'))
     directory.put(createEntry('r2', true))
   })
 
   it('removes a server with an unreadable entry at once, even shortly after a store outage', () => {
     msSinceRecovery = 0
-    directory.drop('r1')
+    directory.removeUnreadable('r1')
     assert.deepEqual(listIds(), ['r2'])
   })
 
@@ -36,7 +36,7 @@
       directory.put({ ...createEntry('r3'), startedAt: 1_000, models: [{ name: 'm', adapters: [] }] })
       const backend = fleet.find('r3')
       backend?.cachedPrefixes.record('m', [{ id: 'a', tokens: 100 }])
-      backend?.noteModel('n', true)
+      backend?.recordModel('n', true)
       fleet.applyPeerLoads('e2', new Map([['r3', { running: 3, prefillTokens: 10, cacheTokens: 10, suspects: 0 }]]))
     })
 
@@ -76,7 +76,7 @@
 
     it('keeps the state of a server that publishes its entry again', async () => {
       const before = fleet.find('r1')
-      directory.keepOnly(new Set())
+      directory.removeAllExcept(new Set())
       await clock.advance(2_000)
       directory.put(createEntry('r1'))
       await clock.advance(5_000)
@@ -107,9 +107,9 @@
 
     const restore = (...entries: BackendEntry[]): void => {
       msSinceRecovery = 0
-      directory.noteRestored(RESTORED_VERSION)
+      directory.handleRestore(RESTORED_VERSION)
       for (const entry of entries) directory.put(entry, RESTORED_VERSION - 10)
-      directory.keepOnly(new Set(entries.map(({ id }) => id)))
+      directory.removeAllExcept(new Set(entries.map(({ id }) => id)))
     }
 
     // Guards against an older entry that undoes the drain of a server.
@@ -170,7 +170,7 @@
     it('keeps its state when the store is restored a second time', async () => {
       restore(createEntry('r1'), createEntry('r2'))
       await clock.advance(STALE_ENTRY_EXPIRY_MS - 100)
-      directory.noteRestored(2 * RESTORED_VERSION)
+      directory.handleRestore(2 * RESTORED_VERSION)
       directory.put(createEntry('r2'), 2 * RESTORED_VERSION - 10)
       await clock.advance(2 * STALE_ENTRY_EXPIRY_MS)
       assert.equal(isDraining('r2'), true)
@@ -191,7 +191,7 @@
 
       beforeEach(() => {
         newFleet = new BackendFleet()
-        newDirectory = new BackendDirectory({ clock, fleet: newFleet, readSettledMs: () => LONG_RECOVERED_MS })
+        newDirectory = new BackendDirectory({ clock, fleet: newFleet, readMsSinceRecovery: () => LONG_RECOVERED_MS })
         directory.put(createEntry('r3'))
         directory.remove('r1')
         restore(createEntry('r1'), createEntry('r2'), createEntry('r3'))
--- a/routing/fleet/test/ServerBackoff.test.ts
+++ b/routing/fleet/test/ServerBackoff.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict'
 import { beforeEach, describe, it } from 'node:test'
-import { ServerBackoff, type CreditUse } from '../src/index.js'
+import { ServerBackoff, type RampUpRequest } from '../src/index.js'
 
 const HOUR_MS = 3_600_000
 
@@ -14,22 +14,22 @@
   it('lasts for the requested time', () => {
     assert.equal(backoff.extend(3_000, 1_000), true)
     assert.equal(backoff.isActive(3_999), true)
-    assert.equal(backoff.readLeftMs(3_000), 1_000)
+    assert.equal(backoff.readRemainingMs(3_000), 1_000)
     assert.equal(backoff.isActive(4_000), false)
-    assert.equal(backoff.readLeftMs(5_000), 0)
+    assert.equal(backoff.readRemainingMs(5_000), 0)
   })
 
   it('is extended by a later request, but never shortened', () => {
     backoff.extend(3_000, 0)
     assert.equal(backoff.extend(1_000, 1_000), false)
-    assert.equal(backoff.readLeftMs(1_000), 2_000)
+    assert.equal(backoff.readRemainingMs(1_000), 2_000)
     assert.equal(backoff.extend(3_000, 1_000), true)
-    assert.equal(backoff.readLeftMs(1_000), 3_000)
+    assert.equal(backoff.readRemainingMs(1_000), 3_000)
   })
 
   it('is capped at one hour', () => {
     backoff.extend(1e15, 0)
-    assert.equal(backoff.readLeftMs(0), HOUR_MS)
+    assert.equal(backoff.readRemainingMs(0), HOUR_MS)
   })
 
   it('is not started by a request for no time', () => {
@@ -39,9 +39,9 @@
   })
 
   describe('once it has ended', () => {
-    const takeAll = (): CreditUse[] => {
-      const uses: CreditUse[] = []
-      while (backoff.hasAllowance() && uses.length < 1_000) uses.push(backoff.take())
+    const takeAll = (): RampUpRequest[] => {
+      const uses: RampUpRequest[] = []
+      while (backoff.hasAllowance() && uses.length < 1_000) uses.push(backoff.takeAllowance())
       return uses
     }
 
@@ -51,7 +51,7 @@
       for (let round = 0; round < 5; round++) {
         const uses = takeAll()
         rounds.push(uses.length)
-        uses.forEach((use) => use.noteAnswered())
+        uses.forEach((use) => use.recordResponse())
         uses.forEach((use) => use.end())
       }
       assert.deepEqual(rounds, [1, 2, 4, 8, 1_000])
@@ -64,9 +64,9 @@
     })
 
     it('ignores responses to requests sent before the backoff', () => {
-      const earlier = [backoff.take(), backoff.take()]
+      const earlier = [backoff.takeAllowance(), backoff.takeAllowance()]
       backoff.extend(100, 0)
-      earlier[0]?.noteAnswered()
+      earlier[0]?.recordResponse()
       earlier.forEach((use) => use.end())
       assert.equal(takeAll().length, 1)
     })
--- a/routing/fleet/test/statements.test.ts
+++ b/routing/fleet/test/ServerReports.test.ts
@@ -4,12 +4,12 @@
 import { ManualClock, RandomSource } from '@pulleystack/core.clock'
 import { SilentDecisionLog } from '@pulleystack/timeline.decisions'
 import fc from 'fast-check'
-import { BackendDirectory, BackendFleet, StatementIntake, StatementSources, chooseBackend, type Backend, type BackendEntry } from '../src/index.js'
+import { BackendDirectory, BackendFleet, ServerReports, ReportSources, chooseBackend, type Backend, type BackendEntry } from '../src/index.js'
 
 const SERVERS = ['a', 'b', 'c']
 const LONG_RECOVERED_MS = 60_000
 const DRAINING_STATEMENT = { serverId: undefined, leaving: true, retryAfterMs: undefined, namesLimit: false, limitPerSecond: undefined, unreadable: undefined }
-const DEMAND = { dataHall: 'z', excluded: new Set<string>(), generation: undefined, queueShare: 1, readingLimit: Infinity }
+const DEMAND = { dataHall: 'z', excluded: new Set<string>(), generation: undefined, overcommitShare: 1, prefillLimit: Infinity }
 
 function createEntry (id: string, startedAt: number): BackendEntry {
   return { id, startedAt, service: 's', address: `${id}:1`, dataHall: 'z', slots: 8, draining: false, models: undefined, inMemory: [], onDisk: [] }
@@ -18,22 +18,22 @@
 describe('self-reported status of servers', () => {
   let clock: ManualClock
   let fleet: BackendFleet
-  let reports: StatementIntake
+  let reports: ServerReports
   let directory: BackendDirectory
   const find = (id: string): Backend => fleet.find(id) as Backend
   const report = (id: string, statement: Partial<typeof DRAINING_STATEMENT> | { retryAfterMs: number }): void => {
-    reports.take(find(id), { ...DRAINING_STATEMENT, leaving: false, ...statement } as never, StatementSources.REQUEST)
+    reports.apply(find(id), { ...DRAINING_STATEMENT, leaving: false, ...statement } as never, ReportSources.REQUEST)
   }
   const choose = (): string => {
-    const choice = chooseBackend({ backends: fleet.list('s'), demand: DEMAND, figures: undefined, random: new RandomSource(1), now: clock.readTime(), policy: DEFAULT_POLICY })
+    const choice = chooseBackend({ backends: fleet.list('s'), demand: DEMAND, capacity: undefined, random: new RandomSource(1), now: clock.readTime(), policy: DEFAULT_POLICY })
     return typeof choice === 'string' ? choice : choice.backend.id
   }
 
   beforeEach(() => {
     clock = new ManualClock()
     fleet = new BackendFleet()
-    reports = new StatementIntake({ clock, fleet, log: new SilentDecisionLog() })
-    directory = new BackendDirectory({ clock, fleet, readSettledMs: () => LONG_RECOVERED_MS })
+    reports = new ServerReports({ clock, fleet, log: new SilentDecisionLog() })
+    directory = new BackendDirectory({ clock, fleet, readMsSinceRecovery: () => LONG_RECOVERED_MS })
     directory.put(createEntry('a', 1))
   })
 
@@ -67,7 +67,7 @@
     it('does not apply to the next incarnation if it arrives late', () => {
       const previous = find('a')
       directory.put(createEntry('a', 2))
-      reports.take(previous, DRAINING_STATEMENT, StatementSources.REQUEST)
+      reports.apply(previous, DRAINING_STATEMENT, ReportSources.REQUEST)
       assert.equal(choose(), 'a')
     })
 
@@ -121,8 +121,8 @@
       await fc.assert(fc.asyncProperty(fc.array(event, { maxLength: 60 }), async (events) => {
         clock = new ManualClock()
         fleet = new BackendFleet()
-        reports = new StatementIntake({ clock, fleet, log: new SilentDecisionLog() })
-        directory = new BackendDirectory({ clock, fleet, readSettledMs: () => LONG_RECOVERED_MS })
+        reports = new ServerReports({ clock, fleet, log: new SilentDecisionLog() })
+        directory = new BackendDirectory({ clock, fleet, readMsSinceRecovery: () => LONG_RECOVERED_MS })
         const incarnations = new Map<string, number>()
         const draining = new Set<string>()
         const backoffUntil = new Map<string, number>()
--- a/routing/fleet/test/chooseBackend.test.ts
+++ b/routing/fleet/test/chooseBackend.test.ts
@@ -24,11 +24,11 @@
 
 describe('choice of a backend server', () => {
   let fleet: BackendFleet
-  let readingLimit: number
+  let prefillLimit: number
   const choose = (demand: Partial<GenerationDemand> = {}, excluded: string[] = [], now = 0): BackendChoice | ChoiceFailure => chooseBackend({
     backends: fleet.list('s'),
-    demand: { dataHall: 'z1', excluded: new Set(excluded), generation: { ...DEMAND, ...demand }, queueShare: 1, readingLimit },
-    figures: FIGURES,
+    demand: { dataHall: 'z1', excluded: new Set(excluded), generation: { ...DEMAND, ...demand }, overcommitShare: 1, prefillLimit },
+    capacity: FIGURES,
     random: new RandomSource(1),
     now,
     policy: DEFAULT_POLICY,
@@ -41,7 +41,7 @@
 
   beforeEach(() => {
     fleet = new BackendFleet()
-    readingLimit = Infinity
+    prefillLimit = Infinity
     fleet.replaceAll([createEntry({ id: 'r1' }), createEntry({ id: 'r2', dataHall: 'z2' })])
   })
 
@@ -56,37 +56,37 @@
 
   describe('while servers process prompts', () => {
     beforeEach(() => {
-      readingLimit = 5_000
+      prefillLimit = 5_000
     })
 
     it('chooses a server with few pending prompt tokens', () => {
-      find('r1').own.prefillTokens = 2_500
+      find('r1').ownLoad.prefillTokens = 2_500
       assert.equal(chooseId(), 'r2')
     })
 
     it('chooses no server if one more prompt would delay the streams of each', () => {
-      for (const id of ['r1', 'r2']) find(id).own.prefillTokens = 3_500
-      assert.equal(choose(), ChoiceFailures.READING)
+      for (const id of ['r1', 'r2']) find(id).ownLoad.prefillTokens = 3_500
+      assert.equal(choose(), ChoiceFailures.PREFILLING)
     })
 
     it('admits a long prompt beside a short one, so that it is not starved', () => {
-      for (const id of ['r1', 'r2']) find(id).own.prefillTokens = 800
+      for (const id of ['r1', 'r2']) find(id).ownLoad.prefillTokens = 800
       assert.equal(chooseId({ promptTokens: 50_000 }), 'r1')
     })
 
     it('counts only prompt tokens that are not cached', () => {
-      for (const id of ['r1', 'r2']) find(id).own.prefillTokens = 3_500
+      for (const id of ['r1', 'r2']) find(id).ownLoad.prefillTokens = 3_500
       find('r2').cachedPrefixes.record('m', DEMAND.parts)
       assert.equal(chooseId(), 'r2')
     })
 
     it('sends a prompt of any length to an idle server', () => {
-      find('r1').own.prefillTokens = 2_500
+      find('r1').ownLoad.prefillTokens = 2_500
       assert.equal(chooseId({ promptTokens: 50_000 }), 'r2')
     })
 
     it('reports servers without free slots as full, regardless of pending prompt tokens', () => {
-      for (const id of ['r1', 'r2']) Object.assign(find(id).own, { prefillTokens: 2_500, running: FIGURES.batchSlots })
+      for (const id of ['r1', 'r2']) Object.assign(find(id).ownLoad, { prefillTokens: 2_500, running: FIGURES.batchSlots })
       assert.equal(choose(), ChoiceFailures.FULL)
     })
   })
@@ -99,14 +99,14 @@
   })
 
   it('skips an unreachable server until its backoff has ended', () => {
-    find('r1').noteUnreachable(0)
+    find('r1').recordUnreachable(0)
     assert.equal(chooseId({}, [], 100), 'r2')
     assert.equal(chooseId({}, [], 10_000), 'r1')
   })
 
   it('skips a server that fails clearly more often than similar servers', () => {
     fleet.put(createEntry({ id: 'r3', dataHall: 'z3' }))
-    for (let i = 0; i < 10; i++) fleet.noteOutcome(find('r1'), i % 2 === 0, 0)
+    for (let i = 0; i < 10; i++) fleet.recordOutcome(find('r1'), i % 2 === 0, 0)
     assert.notEqual(chooseId(), 'r1')
     assert.equal(chooseId({}, [], 30_000), 'r1')
   })
@@ -123,15 +123,15 @@
   it('never overcommits the KV cache, except on an idle server', () => {
     const large = { promptTokens: 95_000, parts: [] }
     assert.equal(chooseId(large), 'r1')
-    for (const id of ['r1', 'r2']) find(id).own.running = 1
-    for (const id of ['r1', 'r2']) find(id).own.cacheTokens = 20_000
+    for (const id of ['r1', 'r2']) find(id).ownLoad.running = 1
+    for (const id of ['r1', 'r2']) find(id).ownLoad.cacheTokens = 20_000
     assert.equal(choose(large), ChoiceFailures.FULL)
   })
 
   it('distinguishes a model or adapter that no server has from full servers', () => {
     assert.equal(choose({ model: 'other' }), ChoiceFailures.NOT_RESIDENT)
     assert.equal(choose({ adapter: 'a1' }), ChoiceFailures.NOT_RESIDENT)
-    find('r2').noteAdapter('m', 'a1', true)
+    find('r2').recordAdapter('m', 'a1', true)
     assert.equal(chooseId({ adapter: 'a1' }), 'r2')
   })
 
@@ -140,7 +140,7 @@
   })
 
   it('keeps large prompts away from servers with many streams', () => {
-    find('r1').own.running = 5
+    find('r1').ownLoad.running = 5
     assert.equal(chooseId({ promptTokens: 9_000, parts: [] }), 'r2')
   })
 })
--- a/routing/fleet/test/restoredEntries.test.ts
+++ b/routing/fleet/test/restoredEntries.test.ts
@@ -36,7 +36,7 @@
 
   constructor () {
     const { clock, fleet } = this
-    this.directory = new BackendDirectory({ clock, fleet, readSettledMs: () => clock.readTime() - this.restoredAt })
+    this.directory = new BackendDirectory({ clock, fleet, readMsSinceRecovery: () => clock.readTime() - this.restoredAt })
   }
 
   /** Starts a server; each incarnation has its own id. */
@@ -72,9 +72,9 @@
     this.revision = this.snapshotRevision
     this.entries = new Map([...this.snapshot].map(([id, entry]) => [id, { ...entry, version: this.version }]))
     this.restoredAt = this.clock.readTime()
-    this.directory.noteRestored(this.version)
+    this.directory.handleRestore(this.version)
     for (const [id, entry] of this.entries) this.notify(id, entry)
-    this.directory.keepOnly(new Set(this.entries.keys()))
+    this.directory.removeAllExcept(new Set(this.entries.keys()))
     this.clock.setTimer(EXPIRY_MS, () => this.expire())
   }
 
--- a/routing/fleet/test/shareDepartures.test.ts
+++ b/routing/fleet/test/shareDrainingServers.test.ts
@@ -2,7 +2,7 @@
 import { afterEach, beforeEach, describe, it } from 'node:test'
 import { ManualClock, RandomSource } from '@pulleystack/core.clock'
 import { FakeHub } from '@pulleystack/membership.fake-network'
-import { BackendFleet, shareDepartures, type Backend } from '../src/index.js'
+import { BackendFleet, shareDrainingServers, type Backend } from '../src/index.js'
 
 const MESSAGE_DELAY_MS = 200
 const NAMES = ['e1', 'e2', 'e3']
@@ -17,7 +17,7 @@
     const fleet = new BackendFleet()
     fleet.put({ id: 's1', startedAt: 1, service: 's', address: '', dataHall: '', slots: 4, draining: false, models: undefined, inMemory: [], onDisk: [] })
     const network = hub.createNode({ instance, incarnation: 1, address: '', peerAddress: '', region: '', dataHall: '', leaving: false })
-    shareDepartures({ network, fleet }, ended.signal)
+    shareDrainingServers({ network, fleet }, ended.signal)
     return fleet
   }
   const isDraining = (fleet: BackendFleet): boolean | undefined => fleet.find('s1')?.entry.draining
--- a/routing/fleet/test/shareLimits.test.ts
+++ b/routing/fleet/test/shareLimits.test.ts
@@ -18,7 +18,7 @@
   const findFleet = (name: string): BackendFleet => fleets[name] as BackendFleet
   const recordLimit = (name: string, perSecond: number | undefined, sentAt = clock.readTime()): void => {
     const fleet = findFleet(name)
-    fleet.noteLimit(fleet.find(SERVER.id) as Backend, { perSecond, saidAfter: sentAt, saidBefore: clock.readTime() })
+    fleet.recordLimit(fleet.find(SERVER.id) as Backend, { perSecond, reportedAfter: sentAt, reportedBefore: clock.readTime() })
   }
   const readLimits = (): (number | undefined)[] => Object.values(fleets).map((fleet) => fleet.findLimit(SERVER).perSecond)
 
@@ -33,7 +33,7 @@
       const fleet = new BackendFleet()
       const isActive = name !== 'standby'
       if (isActive) fleet.put({ ...SERVER, service: 'q', address: 's:1', dataHall: 'z', slots: 8, draining: false, models: undefined, inMemory: [], onDisk: [] })
-      shareLimits({ clock, network, fleet, listStandby: () => isActive ? ['standby'] : [], onNews: () => undefined }, signal)
+      shareLimits({ clock, network, fleet, listStandby: () => isActive ? ['standby'] : [], onPeerLimit: () => undefined }, signal)
       fleets[name] = fleet
       networks[name] = network
     }
@@ -44,7 +44,7 @@
     recordLimit('a', 2)
     await clock.advance(MESSAGE_DELAY_MS)
     assert.deepEqual(readLimits(), [2, 2, 2])
-    assert.equal(findFleet('b').findLimit(SERVER).heardBy, 'a')
+    assert.equal(findFleet('b').findLimit(SERVER).receivedBy, 'a')
   })
 
   it('reach a standby instance that is linked to other instances only', async () => {
@@ -57,14 +57,14 @@
   it('are repeated to a standby instance while in force, and not afterwards', async () => {
     recordLimit('a', 2)
     await clock.advance(MESSAGE_DELAY_MS)
-    const receivedAt = findFleet('standby').limitsToldAt
+    const receivedAt = findFleet('standby').peerLimitsReceivedAt
     await clock.advance(31_000)
-    assert.ok(findFleet('standby').limitsToldAt > receivedAt)
+    assert.ok(findFleet('standby').peerLimitsReceivedAt > receivedAt)
     recordLimit('a', undefined)
     await clock.advance(MESSAGE_DELAY_MS)
     const endedAt = clock.readTime()
     await clock.advance(31_000)
-    assert.ok(findFleet('standby').limitsToldAt <= endedAt)
+    assert.ok(findFleet('standby').peerLimitsReceivedAt <= endedAt)
   })
 
   it('end at an instance that received the limit after its end was announced, once a response confirms the end', async () => {
--- a/routing/fleet/test/shareLoads.test.ts
+++ b/routing/fleet/test/shareLoads.test.ts
@@ -21,7 +21,7 @@
     fleet = new BackendFleet()
     fleet.put({ id: 's1', service: 's', address: '', dataHall: '', slots: 4, draining: false, models: undefined, inMemory: [], onDisk: [] })
     ended = new AbortController()
-    shareLoads({ clock, network: hub.createNode(createIdentity('own')), fleet, countReaders: () => 1, onChange: () => undefined }, ended.signal)
+    shareLoads({ clock, network: hub.createNode(createIdentity('own')), fleet, countRecipients: () => 1, onChange: () => undefined }, ended.signal)
     peer = hub.createNode(createIdentity('peer'))
   })
 
--- a/routing/fleet/test/shareRevived.test.ts
+++ b/routing/fleet/test/shareStaleServers.test.ts
@@ -2,7 +2,7 @@
 import { afterEach, beforeEach, describe, it } from 'node:test'
 import { ManualClock, RandomSource } from '@pulleystack/core.clock'
 import { FakeHub } from '@pulleystack/membership.fake-network'
-import { BackendDirectory, BackendFleet, shareRevived, type BackendEntry } from '../src/index.js'
+import { BackendDirectory, BackendFleet, shareStaleServers, type BackendEntry } from '../src/index.js'
 
 const MESSAGE_DELAY_MS = 200
 const RESTORED_VERSION = 100
@@ -18,9 +18,9 @@
 
   const start = (instance: string) => {
     const fleet = new BackendFleet()
-    const directory = new BackendDirectory({ clock, fleet, readSettledMs: () => Infinity })
+    const directory = new BackendDirectory({ clock, fleet, readMsSinceRecovery: () => Infinity })
     const network = hub.createNode({ instance, incarnation: 1, address: '', peerAddress: '', region: '', dataHall: '', leaving: false })
-    const sendToAll = shareRevived({ network, directory }, ended.signal)
+    const sendToAll = shareStaleServers({ network, directory }, ended.signal)
     return { fleet, directory, sendToAll, network }
   }
 
@@ -36,7 +36,7 @@
     const informed = start('e1')
     informed.directory.put(createEntry('s1'))
     informed.directory.remove('s1')
-    informed.directory.noteRestored(RESTORED_VERSION)
+    informed.directory.handleRestore(RESTORED_VERSION)
     informed.directory.put(createEntry('s1'), RESTORED_VERSION)
     return informed
   }
--- a/routing/permits/src/ServerPermits.ts
+++ b/routing/permits/src/ServerPermits.ts
@@ -1,18 +1,18 @@
 import type { Clock, RandomSource } from '@pulleystack/core.clock'
 import { defineChannel, type PeerNetwork } from '@pulleystack/membership.peers'
-import { nameLife, type Backend, type BackendFleet, type ServerLife, type StatedFacts } from '@pulleystack/routing.fleet'
+import { formatIncarnation, type Backend, type BackendFleet, type ServerIncarnation, type ReportedStatus } from '@pulleystack/routing.fleet'
 import { RatePools, type LimitsStanding, type PooledRate, type RateGrant, type TimeContribution } from '@pulleystack/routing.limits'
 
 /** Requests permits from the owner of a server's pool; `perSecond` is the limit that the requesting instance knows. */
 interface PermitRequest {
-  life: ServerLife
+  life: ServerIncarnation
   perSecond: number
   count: number
 }
 
 const TIME_CONTRIBUTIONS = defineChannel<TimeContribution>('permits.earned')
 const ACQUIRE = defineChannel<PermitRequest, RateGrant>('permits.asked')
-const UNUSED_PERMITS = defineChannel<{ life: ServerLife, count: number }>('permits.given-back', { isOnce: true })
+const UNUSED_PERMITS = defineChannel<{ life: ServerIncarnation, count: number }>('permits.given-back', { isOnce: true })
 
 const OWNER_TIMEOUT_MS = 250
 /** Permits not used within this time are returned to the pool. */
@@ -56,7 +56,7 @@
       contributions: TIME_CONTRIBUTIONS,
       namespace: 'permits',
       listRates: () => this.listRates(),
-      mustLend: () => opts.clock.readTime() - opts.fleet.limitsToldAt < LEND_DURATION_MS,
+      mustLend: () => opts.clock.readTime() - opts.fleet.peerLimitsReceivedAt < LEND_DURATION_MS,
     })
   }
 
@@ -64,79 +64,81 @@
   start (signal: AbortSignal): void {
     const { network } = this.opts
     network.handleCalls(ACQUIRE, (_, request) => this.takeLocally(request))
-    const subscription = network.receive(UNUSED_PERMITS).subscribe(({ body }) => this.pools.giveBack(nameLife(body.life), body.count))
+    const subscription = network.receive(UNUSED_PERMITS).subscribe(({ body }) => this.pools.giveBack(formatIncarnation(body.life), body.count))
     signal.addEventListener('abort', () => subscription.unsubscribe(), { once: true })
     this.pools.start(signal)
   }
 
   /** Requests the permits that are missing for `wanted` requests, unless a request is pending or paused; `onChange` is called afterwards. */
-  request ({ stated }: Backend, wanted: number): void {
+  request ({ reported }: Backend, wanted: number): void {
     const now = this.opts.clock.readTime()
-    const { permits } = stated
+    const { permits } = reported
     const count = wanted - permits.count(now)
-    if (count <= 0 || permits.isAsking || now < permits.askAgainAt) return
-    permits.isAsking = true
-    void this.askOwner(stated, count).finally(() => {
-      permits.isAsking = false
+    if (count <= 0 || permits.hasPendingRequest || now < permits.nextRequestAt) return
+    permits.hasPendingRequest = true
+    void this.askOwner(reported, count).finally(() => {
+      permits.hasPendingRequest = false
       this.opts.onChange()
     })
   }
 
   /** Returns permits of requests that were not sent. */
-  giveBack ({ stated }: Backend, count: number): void {
-    this.releaseToPool(stated, count)
+  giveBack ({ reported }: Backend, count: number): void {
+    this.releaseToPool(reported, count)
   }
 
-  private async askOwner (stated: StatedFacts, count: number): Promise<void> {
+  private async askOwner (reported: ReportedStatus, count: number): Promise<void> {
     const { clock, network } = this.opts
-    const { life, limit } = stated
+    const { incarnation, limit } = reported
     const requestedAt = clock.readTime()
-    const request = { life, perSecond: limit.perSecond ?? MAX_PER_SECOND, count }
-    const answer = await this.pools.callOwner(nameLife(life), {
+    const request = { life: incarnation, perSecond: limit.perSecond ?? MAX_PER_SECOND, count }
+    const answer = await this.pools.callOwner(formatIncarnation(incarnation), {
       runLocally: () => this.takeLocally(request),
       callPeer: (owner) => network.call(owner, ACQUIRE, request, OWNER_TIMEOUT_MS),
     })
     const { granted, retryAfterMs } = answer ?? { granted: 0, retryAfterMs: MAX_PAUSE_MS }
-    if (granted > 0) this.hold(stated, granted, requestedAt + PERMIT_TTL_MS)
+    if (granted > 0) this.hold(reported, granted, requestedAt + PERMIT_TTL_MS)
     // `retryAfterMs` may be practically infinite while no instance contributes to the pool.
     const expectedMs = Math.min(retryAfterMs, 1_000 / computePermitsPerSecond(request.perSecond))
-    if (granted < count) this.pause(stated, expectedMs)
+    if (granted < count) this.pause(reported, expectedMs)
   }
 
-  private hold (stated: StatedFacts, count: number, expiresAt: number): void {
+  private hold (reported: ReportedStatus, count: number, expiresAt: number): void {
     const { clock } = this.opts
-    stated.permits.put(count, expiresAt)
+    reported.permits.put(count, expiresAt)
     clock.setTimer(Math.max(0, expiresAt - clock.readTime()), () => {
-      const expired = stated.permits.dropOverdue(clock.readTime())
-      if (expired > 0) this.releaseToPool(stated, expired)
+      const expired = reported.permits.dropExpired(clock.readTime())
+      if (expired > 0) this.releaseToPool(reported, expired)
     })
   }
 
-  private pause ({ permits }: StatedFacts, expectedMs: number): void {
+  private pause ({ permits }: ReportedStatus, expectedMs: number): void {
     const { clock, random, onChange } = this.opts
     const now = clock.readTime()
     const boundedMs = Math.min(MAX_PAUSE_MS, Math.max(MIN_PAUSE_MS, expectedMs))
     const ms = boundedMs * (1 + random.readFraction() * PAUSE_JITTER)
-    permits.expectedAt = now + expectedMs
-    permits.askAgainAt = now + ms
+    permits.nextExpectedAt = now + expectedMs
+    permits.nextRequestAt = now + ms
     clock.setTimer(ms, onChange)
   }
 
-  private releaseToPool ({ life }: StatedFacts, count: number): void {
-    const name = nameLife(life)
+  private releaseToPool ({ incarnation }: ReportedStatus, count: number): void {
+    const name = formatIncarnation(incarnation)
     const owner = this.pools.findOwner(name)
     if (owner === this.pools.self) this.pools.giveBack(name, count)
-    else if (owner !== undefined) this.opts.network.send(owner, UNUSED_PERMITS, { life, count })
+    else if (owner !== undefined) this.opts.network.send(owner, UNUSED_PERMITS, { life: incarnation, count })
   }
 
   /** Takes permits from this instance's pool, using the stricter of the limits known here and by the requesting instance. */
-  private takeLocally ({ life, perSecond, count }: PermitRequest): RateGrant {
-    const knownLimit = this.opts.fleet.findLimit(life).perSecond ?? Infinity
-    return this.pools.findPool(nameLife(life), createRate(Math.min(knownLimit, perSecond))).takeUpTo(count)
+  private takeLocally ({ life: incarnation, perSecond, count }: PermitRequest): RateGrant {
+    const knownLimit = this.opts.fleet.findLimit(incarnation).perSecond ?? Infinity
+    return this.pools.findPool(formatIncarnation(incarnation), createRate(Math.min(knownLimit, perSecond))).takeUpTo(count)
   }
 
   private listRates (): ReadonlyMap<string, PooledRate> {
-    return new Map(this.opts.fleet.listLimited().map(({ life, statement }) => [nameLife(life), createRate(statement.perSecond ?? MAX_PER_SECOND)]))
+    return new Map(this.opts.fleet.listLimits().map(
+      ({ incarnation, report }) => [formatIncarnation(incarnation), createRate(report.perSecond ?? MAX_PER_SECOND)],
+    ))
   }
 }
 
--- a/routing/permits/test/PermitStrategy.ts
+++ b/routing/permits/test/PermitStrategy.ts
@@ -38,8 +38,8 @@
     this.permits.start(signal)
   }
 
-  override take ({ stated }: Backend): boolean {
-    return stated.permits.take(this.opts.clock.readTime())
+  override take ({ reported }: Backend): boolean {
+    return reported.permits.take(this.opts.clock.readTime())
   }
 
   override request (backend: Backend, count: number): void {
--- a/routing/permits/test/PermitsBench.ts
+++ b/routing/permits/test/PermitsBench.ts
@@ -128,7 +128,7 @@
   private trySend (name: string, run: ProcessRun): boolean {
     const now = this.clock.readTime()
     const backend = this.findBackend(run)
-    if (backend.stated.limit.perSecond !== undefined && !run.permits.take(backend)) return false
+    if (backend.reported.limit.perSecond !== undefined && !run.permits.take(backend)) return false
     if (now >= (this.exemptUntil.get(name) ?? -Infinity)) this.sends.push({ at: now, from: name })
     return true
   }
@@ -172,7 +172,7 @@
     const permits = this.createStrategy({ clock, random, network, fleet, standing, isRestarted, onChange: () => this.sendWaiting(instance) })
     permits.start(controller.signal)
     const listStandby = (): string[] => isServing ? network.listLinked().filter((other) => !this.serving.includes(other)) : []
-    shareLimits({ clock, network, fleet, listStandby, onNews: () => undefined }, controller.signal)
+    shareLimits({ clock, network, fleet, listStandby, onPeerLimit: () => undefined }, controller.signal)
     this.runs.set(instance, { fleet, permits, network, controller, queue: [] })
   }
 
@@ -189,7 +189,7 @@
     const backend = run?.fleet.find(SERVER)
     if (!run || !backend) return
     const now = this.clock.readTime()
-    run.fleet.noteLimit(backend, { perSecond: this.perSecond, saidAfter: now, saidBefore: now })
+    run.fleet.recordLimit(backend, { perSecond: this.perSecond, reportedAfter: now, reportedBefore: now })
   }
 
   private findBackend ({ fleet }: ProcessRun): Backend {
