--- a/backend/http/src/OwnRoutedProtocol.ts
+++ b/backend/http/src/OwnRoutedProtocol.ts
@@ -1,5 +1,5 @@
 import type { IncomingHttpHeaders, IncomingMessage } from 'node:http'
-import { RoutedProtocol, type AnswerFacts, type ForwardContext, type RoutedRequestFacts, type ServerStatement } from '@pulleystack/backend.interfaces'
+import { RoutedProtocol, type ResponseFacts, type ForwardContext, type RoutedRequestFacts, type ServerStatus } from '@pulleystack/backend.interfaces'
 import { describeUnreadable, listEndToEnd, parseRetryAfter } from '@pulleystack/core.headers'
 import { Ran } from '@pulleystack/core.errors'
 import { ATTEMPT_HEADER, RAN_HEADER } from './wire.js'
@@ -44,10 +44,10 @@
     return headers
   }
 
-  override readAnswer (status: number, headers: IncomingHttpHeaders): AnswerFacts {
+  override readResponse (status: number, headers: IncomingHttpHeaders): ResponseFacts {
     const requestId = readText(headers[ATTEMPT_HEADER])
     const notRun = status === REFUSED && headers[RAN_HEADER] === Ran.NO
-    return { requestId, signed: requestId !== undefined, notRun, statement: status === REFUSED ? readRest(headers) : undefined }
+    return { requestId, signed: requestId !== undefined, notRun, serverStatus: status === REFUSED ? readRest(headers) : undefined }
   }
 
   override buildOwnHeaders (): Record<string, string> {
@@ -56,7 +56,7 @@
 }
 
 /** The rest that a server asks for by the header that HTTP has for it; undefined when it asks for none. */
-function readRest (headers: IncomingHttpHeaders): ServerStatement | undefined {
+function readRest (headers: IncomingHttpHeaders): ServerStatus | undefined {
   const value = headers['retry-after']
   if (value === undefined) return undefined
   const retryAfterMs = parseRetryAfter(value, headers.date)
--- a/backend/interfaces/src/RoutedProtocol.ts
+++ b/backend/interfaces/src/RoutedProtocol.ts
@@ -1,5 +1,5 @@
 import type { IncomingHttpHeaders } from 'node:http'
-import type { ServerStatement } from './ServerStatement.js'
+import type { ServerStatus } from './ServerStatement.js'
 
 /** One part of a prompt; parts with the same id have the same text. */
 export interface RoutedPromptPart {
@@ -47,11 +47,11 @@
   /** The team whose key the caller showed; undefined when none has it. */
   team?: string
   /** The caller's access key is meant for the system alone and left out. */
-  hidesKey?: boolean
+  removesAccessKey?: boolean
 }
 
 /** What the head of a backend server's answer says. */
-export interface AnswerFacts {
+export interface ResponseFacts {
   requestId: string | undefined
   /** The server vouches that the answer is its own. */
   signed: boolean
@@ -60,7 +60,7 @@
   /** Another server than the one that was meant may have answered. */
   misdirected?: boolean
   /** What the server says of itself; undefined when it says nothing. */
-  statement?: ServerStatement | undefined
+  serverStatus?: ServerStatus | undefined
 }
 
 /** How routed requests and their answers are marked; every platform has headers of its own. */
@@ -70,7 +70,7 @@
   abstract buildForwardHeaders (rawHeaders: readonly string[], context: ForwardContext): string[]
   /** Headers to another instance that answers in place of this one: the client's own with the milliseconds that are left, if it named any. */
   abstract buildRelayHeaders (rawHeaders: readonly string[], waitMs: number | undefined): string[]
-  abstract readAnswer (status: number, headers: IncomingHttpHeaders): AnswerFacts
+  abstract readResponse (status: number, headers: IncomingHttpHeaders): ResponseFacts
   /** Headers of an answer that the system gives itself. */
   abstract buildOwnHeaders (requestId: string | undefined): Record<string, string>
 }
--- a/backend/interfaces/src/ServerStatement.ts
+++ b/backend/interfaces/src/ServerStatement.ts
@@ -1,5 +1,5 @@
 /** What a backend server says of itself beside its answer, to whichever request, report or order. */
-export interface ServerStatement {
+export interface ServerStatus {
   /** Id of the server that says it; undefined where it doesn't name itself. */
   serverId: string | undefined
   /** It leaves and takes no new requests. */
--- a/backend/interfaces/src/StoreEpochs.ts
+++ b/backend/interfaces/src/StoreEpochs.ts
@@ -7,7 +7,7 @@
 export interface EpochChange {
   epoch: number
   /** Newest epoch seen before; undefined at the first answer. Otherwise the store came back from an older copy and has lost what it had acknowledged since. */
-  former: number | undefined
+  previous: number | undefined
 }
 
 /** The epochs of one store that a process has seen, in whatever answer came first. */
@@ -26,10 +26,10 @@
   }
 
   /** Takes the epoch of an answer or of a version; older ones change nothing. */
-  note (epoch: number): void {
-    const former = this.seen
-    if (former !== undefined && epoch <= former) return
+  record (epoch: number): void {
+    const previous = this.seen
+    if (previous !== undefined && epoch <= previous) return
     this.seen = epoch
-    this.subject.next({ epoch, former })
+    this.subject.next({ epoch, previous })
   }
 }
--- a/backend/interfaces/src/WeightsClient.ts
+++ b/backend/interfaces/src/WeightsClient.ts
@@ -1,7 +1,7 @@
 import type { PulleystackError } from '@pulleystack/core.errors'
 import type { Result } from 'neverthrow'
 import { Subject, type Observable } from 'rxjs'
-import type { ServerStatement } from './ServerStatement.js'
+import type { ServerStatus } from './ServerStatement.js'
 
 /** What a model server says of its weights; it lags by a fraction of a second. */
 export interface WeightsState {
@@ -49,22 +49,22 @@
 }
 
 /** What a server said of itself in the answer to a report or an order. */
-export interface TargetStatement {
+export interface TargetStatus {
   target: WeightsTarget
   call: 'report' | 'order'
-  statement: ServerStatement
+  status: ServerStatus
 }
 
 /** Reads and changes what model servers hold. An error of `sendOrder` says by `ran` whether the order may still be carried out. */
 export abstract class WeightsClient {
-  private readonly subject = new Subject<TargetStatement>()
+  private readonly subject = new Subject<TargetStatus>()
 
   /** What servers say of themselves in their answers, whatever the answers are. */
-  get statements (): Observable<TargetStatement> {
+  get statuses (): Observable<TargetStatus> {
     return this.subject
   }
 
-  protected tellStatement (stated: TargetStatement): void {
+  protected emitStatus (stated: TargetStatus): void {
     this.subject.next(stated)
   }
 
--- a/config/feed/src/CopyWatch.ts
+++ b/config/feed/src/StalenessMonitor.ts
@@ -28,7 +28,7 @@
   isWatcher: () => boolean
 }
 
-export interface CopyWatchOptions {
+export interface StalenessMonitorOptions {
   clock: Clock
   log: DecisionLog
   feed: MonitoredReplica
@@ -36,11 +36,11 @@
 }
 
 /** Logs when the replica of one prefix becomes stale or current, and when this instance starts or stops watching. */
-export class CopyWatch {
+export class StalenessMonitor {
   private staleSince: number | undefined
   private wasWatcher = false
 
-  constructor (private readonly opts: CopyWatchOptions) {}
+  constructor (private readonly opts: StalenessMonitorOptions) {}
 
   /** Checks periodically until the signal aborts. */
   start (signal: AbortSignal): void {
--- a/config/feed/src/StoreFeed.ts
+++ b/config/feed/src/StoreFeed.ts
@@ -5,7 +5,7 @@
 import { serveSnapshots } from './serveSnapshots.js'
 import { findOrCreateBudget, type ByteBudget } from './ByteBudget.js'
 import { UPDATE, NOTICE, SNAPSHOT, type FeedUpdate, type FeedSnapshot, type RevisionSpan } from './channels.js'
-import { ReplicaStates, type ReplicaState } from './CopyWatch.js'
+import { ReplicaStates, type ReplicaState } from './StalenessMonitor.js'
 import { FeedReplica, keepNewest, measureValue } from './FeedReplica.js'
 import { buildRestoreUpdate, isOfLaterEpoch, recordRejected, recordReset, recordRestored } from './replicaRecords.js'
 import { StoreAvailability } from './StoreAvailability.js'
@@ -71,12 +71,12 @@
   }
 
   /** Milliseconds since the store became available; 0 during an outage. */
-  get settledMs (): number {
+  get msSinceRecovery (): number {
     return this.availability.sinceRecoveryMs
   }
 
   /** Milliseconds since the store became unavailable to this instance and its peers; 0 while it is available. */
-  get lostMs (): number {
+  get outageMs (): number {
     return this.availability.outageMs
   }
 
@@ -242,7 +242,7 @@
   /** Sends changes to all instances, or only a notice if the byte budget doesn't allow it. */
   private sendUpdate (update: FeedUpdate): void {
     const { network } = this.opts
-    const bytes = measureSend(UPDATE, update) * network.countReached()
+    const bytes = measureSend(UPDATE, update) * network.countBroadcastPeers()
     if (update.changes.length === 0 || this.budget.trySpend(bytes)) {
       network.broadcast(UPDATE, update)
       return
--- a/config/feed/src/index.ts
+++ b/config/feed/src/index.ts
@@ -1,3 +1,3 @@
-export { CopyWatch } from './CopyWatch.js'
+export { StalenessMonitor } from './StalenessMonitor.js'
 export { StoreFeed } from './StoreFeed.js'
 export type { ListingInfo, StoreFeedOptions } from './StoreFeedOptions.js'
--- a/config/feed/test/FeedCluster.ts
+++ b/config/feed/test/FeedCluster.ts
@@ -3,7 +3,7 @@
 import { PulleystackError } from '@pulleystack/core.errors'
 import { MemoryObjectStore } from '@pulleystack/emulator.stand-ins'
 import { FakeHub } from '@pulleystack/membership.fake-network'
-import { SilentDecisionLog } from '@pulleystack/timeline.decisions'
+import { NullDecisionLog } from '@pulleystack/timeline.decisions'
 import { Err, type Result } from 'neverthrow'
 import { StoreFeed } from '../src/index.js'
 
@@ -76,7 +76,7 @@
   private async check (timeoutMs: number): Promise<Err<never, PulleystackError> | undefined> {
     const { name, clock, hub } = this.connection
     this.calls++
-    const sentMs = hub.putOnUplink(name, REQUEST_BYTES)
+    const sentMs = hub.sendOnUplink(name, REQUEST_BYTES)
     if (sentMs > 0) await clock.wait(Math.min(sentMs, timeoutMs))
     if (this.state === 'good' && sentMs < timeoutMs) return undefined
     if (this.state === 'silent') await clock.wait(timeoutMs)
@@ -122,7 +122,7 @@
       random: new RandomSource(7),
       store: path,
       network,
-      log: new SilentDecisionLog(),
+      log: new NullDecisionLog(),
       prefix: PREFIX,
       instance: name,
       listCandidates: () => this.listNames(),
--- a/config/feed/test/CopyWatch.test.ts
+++ b/config/feed/test/StalenessMonitor.test.ts
@@ -7,7 +7,7 @@
 import { MemoryObjectStore } from '@pulleystack/emulator.stand-ins'
 import { FakeHub } from '@pulleystack/membership.fake-network'
 import { DecisionKinds, DecisionLog, type DecisionFacts, type DecisionKind } from '@pulleystack/timeline.decisions'
-import { CopyWatch, StoreFeed } from '../src/index.js'
+import { StalenessMonitor, StoreFeed } from '../src/index.js'
 
 const PREFIX = 'things/'
 const KEY = `${PREFIX}x`
@@ -58,7 +58,7 @@
       onChanges: () => undefined,
     })
     feed.start(abort.signal)
-    new CopyWatch({ clock, log, feed, prefix: PREFIX }).start(abort.signal)
+    new StalenessMonitor({ clock, log, feed, prefix: PREFIX }).start(abort.signal)
   }
 
   beforeEach(async () => {
--- a/config/feed/test/StoreFeed.test.ts
+++ b/config/feed/test/StoreFeed.test.ts
@@ -83,15 +83,15 @@
     await fc.assert(fc.asyncProperty(fc.array(step, { minLength: 5, maxLength: 30 }), fc.integer(), async (steps, seed) => {
       cluster = new FeedCluster(seed)
       const { clock, shared, hub, nodes } = cluster
-      hub.lossShare = 0.2
-      hub.repeatShare = 0.2
+      hub.lossProbability = 0.2
+      hub.duplicateProbability = 0.2
       hub.maxDelayMs = 300
       for (const name of NAMES) cluster.start(name)
       for (const { kind, node, other } of steps) {
         if (kind === 'write') await write(`k${node}`)
         else if (kind === 'writeLarge') await cluster.write(`k${node}`, 40_000)
         else if (kind === 'cut') hub.cut(NAMES[node] as string, NAMES[other] as string)
-        else if (kind === 'heal') hub.healAll()
+        else if (kind === 'heal') hub.clearPartitions()
         else if (kind === 'compact') shared.compact()
         else if (kind === 'silent' || kind === 'good') (nodes[node] as Node).path.state = kind
         await clock.advance(250)
@@ -155,7 +155,7 @@
       await write('k1')
       await cluster.clock.advance(1_000)
       cluster.shared.restore(backup)
-      cluster.hub.healAll()
+      cluster.hub.clearPartitions()
       behind.path.state = 'good'
       await cluster.clock.advance(3_000)
       assert.deepEqual([...behind.values].sort(), await readAll())
@@ -184,15 +184,15 @@
     await fc.assert(fc.asyncProperty(fc.array(step, { minLength: 5, maxLength: 40 }), fc.integer(), async (steps, seed) => {
       cluster = new FeedCluster(seed)
       const { clock, shared, hub } = cluster
-      hub.lossShare = 0.2
-      hub.repeatShare = 0.2
+      hub.lossProbability = 0.2
+      hub.duplicateProbability = 0.2
       hub.maxDelayMs = 300
       for (const name of NAMES) cluster.start(name)
       let copy = shared.takeCopy()
       for (const { kind, node, other } of steps) {
         if (kind === 'write') await cluster.write(`k${node}`)
         else if (kind === 'cut') hub.cut(NAMES[node] as string, NAMES[other] as string)
-        else if (kind === 'heal') hub.healAll()
+        else if (kind === 'heal') hub.clearPartitions()
         else if (kind === 'compact') shared.compact()
         else if (kind === 'copy') copy = shared.takeCopy()
         else if (kind === 'restore') shared.restore(copy)
--- a/config/feed/test/farBehind.test.ts
+++ b/config/feed/test/farBehind.test.ts
@@ -5,7 +5,7 @@
 import { PulleystackError } from '@pulleystack/core.errors'
 import { MemoryObjectStore } from '@pulleystack/emulator.stand-ins'
 import { FakeHub } from '@pulleystack/membership.fake-network'
-import { SilentDecisionLog } from '@pulleystack/timeline.decisions'
+import { NullDecisionLog } from '@pulleystack/timeline.decisions'
 import { err, type Result } from 'neverthrow'
 import { StoreFeed } from '../src/index.js'
 
@@ -73,7 +73,7 @@
       random: new RandomSource(7),
       store: path,
       network,
-      log: new SilentDecisionLog(),
+      log: new NullDecisionLog(),
       prefix: PREFIX,
       instance: 'n1',
       listCandidates: () => ['n1'],
--- a/config/objects/src/index.ts
+++ b/config/objects/src/index.ts
@@ -1,4 +1,4 @@
-export { Kinds, PLATFORM_PARTNER, buildObjectKey, parseObjectKey, getWorkClass, ServiceClasses } from './kinds.js'
+export { Kinds, PLATFORM_PARTNER, buildObjectKey, parseObjectKey, getPriority, ServiceClasses } from './kinds.js'
 export type { Kind, ServiceClass } from './kinds.js'
 export { objectSchema, specSchemas, createObjectJsonSchema } from './schemas.js'
 export type {
--- a/config/objects/src/kinds.ts
+++ b/config/objects/src/kinds.ts
@@ -33,6 +33,6 @@
 }
 
 /** Priority of a service class for engines that support priorities; lower is more urgent. */
-export function getWorkClass (serviceClass: ServiceClass): number {
+export function getPriority (serviceClass: ServiceClass): number {
   return serviceClass === ServiceClasses.LOOKUP ? 0 : 1
 }
--- a/config/sync/test/startConfigSync.test.ts
+++ b/config/sync/test/startConfigSync.test.ts
@@ -108,8 +108,8 @@
     cluster.stop(it.node)
     cluster.start(it.node)
   } else if (it.do === 'cut') cluster.hub.cut(it.a, it.b)
-  else if (it.do === 'heal') cluster.hub.healAll()
-  else if (it.do === 'network') Object.assign(cluster.hub, { lossShare: it.loss, repeatShare: it.repeat, maxDelayMs: it.delay })
+  else if (it.do === 'heal') cluster.hub.clearPartitions()
+  else if (it.do === 'network') Object.assign(cluster.hub, { lossProbability: it.loss, duplicateProbability: it.repeat, maxDelayMs: it.delay })
   else if (it.do === 'storeDown') cluster.store.faults.down = it.down
   else if (it.do === 'compact') cluster.store.compact()
   else Object.assign(cluster.store.faults, { gapEvery: it.gapEvery, reorder: it.reorder })
@@ -162,8 +162,8 @@
         await runStep(cluster, it)
         await cluster.clock.advance(waitMs)
       }
-      Object.assign(cluster.hub, { lossShare: 0, repeatShare: 0, maxDelayMs: 5 })
-      cluster.hub.healAll()
+      Object.assign(cluster.hub, { lossProbability: 0, duplicateProbability: 0, maxDelayMs: 5 })
+      cluster.hub.clearPartitions()
       Object.assign(cluster.store.faults, { down: false, gapEvery: 0, reorder: false })
       NAMES.filter((name) => !cluster.nodes.has(name)).forEach((name) => cluster.start(name))
       // Changes that all watches missed arrive with the next listing.
--- a/emulator/stand-ins/src/MemoryObjectStore.ts
+++ b/emulator/stand-ins/src/MemoryObjectStore.ts
@@ -108,7 +108,7 @@
     for (const [key, { version, text }] of copy.objects) this.objects.set(key, { version: buildVersion(epoch, readRevision(version)), text })
     this.log = []
     this.compactedThrough = this.version
-    this.epochs.note(epoch)
+    this.epochs.record(epoch)
   }
 
   private async isFailing (): Promise<boolean> {
--- a/gateway/admin/src/AdminGateway.ts
+++ b/gateway/admin/src/AdminGateway.ts
@@ -4,8 +4,8 @@
 import type { ConfigIndex, ConfigReplica } from '@pulleystack/config.replica'
 import type { OperatorSetting } from '@pulleystack/config.settings'
 import { PulleystackError, convertToError } from '@pulleystack/core.errors'
-import { parseBearer, parseJsonBody, readBody, sendError, sendJson } from '@pulleystack/gateway.http'
-import { matchKeyHash } from '@pulleystack/membership.keys'
+import { parseBearerToken, parseJsonBody, readBody, sendError, sendJson } from '@pulleystack/gateway.http'
+import { isMatchingKey } from '@pulleystack/membership.keys'
 import type { TimelineEvent } from '@pulleystack/timeline.events'
 import { isVisibleToPartner, type TimelineFilter } from '@pulleystack/timeline.merge'
 import type { ConfigWriter } from './ConfigWriter.js'
@@ -61,9 +61,9 @@
   }
 
   private authenticate (request: http.IncomingMessage): Operator {
-    const key = parseBearer(request.headers)
+    const key = parseBearerToken(request.headers)
     // Compares with every operator, so that response times don't reveal a partial match.
-    const matches = key === undefined ? [] : this.opts.operators.filter((operator) => matchKeyHash(key, operator.keyHashes))
+    const matches = key === undefined ? [] : this.opts.operators.filter((operator) => isMatchingKey(key, operator.keyHashes))
     const operator = matches[0]
     if (operator) return { name: operator.name, partner: operator.partner }
     throw new PulleystackError('ACCESS_KEY_WRONG', 'The operator key is missing or invalid', { hint: 'Set PULLEYSTACK_KEY or pass --key.' })
--- a/gateway/admin/src/explainRequest.ts
+++ b/gateway/admin/src/explainRequest.ts
@@ -4,7 +4,7 @@
 import type { Clock } from '@pulleystack/core.clock'
 import { PulleystackError } from '@pulleystack/core.errors'
 import { findAllowedService, resolveModel } from '@pulleystack/gateway.callers'
-import type { EligibleRunners, Places } from '@pulleystack/routing.dispatch'
+import type { EligibleRunners, SlotAllocator } from '@pulleystack/routing.dispatch'
 import type { Runner, RunnerTable } from '@pulleystack/routing.runners'
 
 /** Why a backend server could or could not run the request. */
@@ -33,7 +33,7 @@
   index: ConfigIndex
   table: RunnerTable
   eligible: EligibleRunners
-  places: Places
+  slots: SlotAllocator
 }
 
 /** Explains on which backend servers a caller's request to a model or service could run now, and why not on others. */
@@ -42,7 +42,7 @@
   if (!caller) throw new PulleystackError('OBJECT_UNKNOWN', `Caller "${callerName}" does not exist`, { field: 'caller' })
   const { service, items, adapter } = findTarget(opts, caller, target)
   const work = { partner, service: service.name, items: items.length > 0 ? items : undefined, adapter }
-  const ready = new Set(opts.places.listReady(work).map((runner) => runner.id))
+  const ready = new Set(opts.slots.listReady(work).map((runner) => runner.id))
   const allowed = new Set(opts.eligible.list(partner, service.name).map((runner) => runner.id))
   const role = service.spec.type === 'model' ? 'engine' : 'plain'
   const runners = [...opts.table.listRunners()].filter((runner) => runner.server.role === role)
@@ -63,7 +63,7 @@
 ): ExplainedServer {
   const allowed = runnerIds.allowed.has(runner.id)
   const ready = runnerIds.ready.has(runner.id)
-  const hasRoom = opts.places.hasRoom(runner, { partner: service.partner, serviceClass: service.spec.class })
+  const hasRoom = opts.slots.hasFreeSlot(runner, { partner: service.partner, serviceClass: service.spec.class })
   const why = describeState(opts, runner, service, { allowed, ready, hasRoom })
   return {
     server: runner.id,
--- a/gateway/callers/src/CallerGateway.ts
+++ b/gateway/callers/src/CallerGateway.ts
@@ -4,7 +4,7 @@
 import type { Clock } from '@pulleystack/core.clock'
 import { PulleystackError, convertToError } from '@pulleystack/core.errors'
 import { buildDirectoryAnswer, chooseSubset, computeSubsetSize } from '@pulleystack/directory.subset'
-import { HeaderNames, parseBearer, sendError, sendJson } from '@pulleystack/gateway.http'
+import { HeaderNames, parseBearerToken, sendError, sendJson } from '@pulleystack/gateway.http'
 import { hashAccessKey } from '@pulleystack/core.hashing'
 import type { Member, MembershipView } from '@pulleystack/membership.view'
 import type { DemandMeter } from '@pulleystack/placement.demand'
@@ -25,7 +25,7 @@
   ring: EventRing
   claims: ClaimClient
   meter: DemandMeter
-  rates: RateLimiter
+  rateLimiter: RateLimiter
   generations: GenerationDispatcher
   services: ServiceDispatcher
   maxBodyBytes: number
@@ -54,7 +54,7 @@
   constructor (private readonly opts: CallerGatewayOptions) {}
 
   /** Lists the instances that serve a service, highest ranked first. */
-  listSubset (partner: string, service: string): Member[] {
+  listServingInstances (partner: string, service: string): Member[] {
     const requestsPerSecond = this.opts.index.findObject(Kinds.SERVICE, partner, service)?.spec.requestsPerSecond
     return chooseSubset(`${partner}/${service}`, this.opts.view.listEligible(), computeSubsetSize(requestsPerSecond, this.opts.leastInstances))
   }
@@ -84,7 +84,7 @@
   }
 
   private authenticate (request: http.IncomingMessage): ConfigObject<'Caller'> {
-    const key = parseBearer(request.headers)
+    const key = parseBearerToken(request.headers)
     const caller = key === undefined ? undefined : this.opts.index.findCaller(hashAccessKey(key))
     // Looked up by its SHA-256 hash, so that response times don't reveal partially correct keys.
     if (caller) return caller
@@ -110,7 +110,7 @@
 
   /** Relays a request for a service of other instances; otherwise checks rate limits. Returns true if another instance answered it. */
   private async admit (context: RequestContext, service: ConfigObject<'Service'>, body: Buffer | undefined): Promise<boolean> {
-    const subset = this.listSubset(service.partner, service.name)
+    const subset = this.listServingInstances(service.partner, service.name)
     const { self } = this.opts.view
     const isServedHere = subset.some((member) => member.instance === self.instance)
     if (!isServedHere && context.request.headers[HeaderNames.RELAYED] === undefined) {
@@ -132,7 +132,7 @@
 
   private checkRateLimit (name: string, perSecond: number | undefined, instanceCount: number): void {
     if (perSecond === undefined) return
-    const waitSeconds = this.opts.rates.take(name, perSecond, instanceCount, this.opts.clock.readTime())
+    const waitSeconds = this.opts.rateLimiter.take(name, perSecond, instanceCount, this.opts.clock.readTime())
     if (waitSeconds > 0) throw new PulleystackError('RATE_EXCEEDED', `The rate limit of ${name} is exceeded`, { retryAfterSeconds: Math.max(1, waitSeconds) })
   }
 
@@ -149,7 +149,7 @@
     const { self } = this.opts.view
     sendJson(context.response, 200, buildDirectoryAnswer({
       service,
-      members: this.listSubset(context.caller.partner, service),
+      members: this.listServingInstances(context.caller.partner, service),
       region: searchParams.get('region') ?? self.region,
       dataHall: searchParams.get('dataHall') ?? self.dataHall,
       lifetimeSeconds: this.opts.lifetimeSeconds,
--- a/gateway/callers/src/handleCompletion.ts
+++ b/gateway/callers/src/handleCompletion.ts
@@ -2,8 +2,8 @@
 import { HeaderNames, parseJsonBody, readBody } from '@pulleystack/gateway.http'
 import type { DemandMeter } from '@pulleystack/placement.demand'
 import type { GenerateEnd, TokenSink } from '@pulleystack/backend.interfaces'
-import type { KeptOutcome } from '@pulleystack/routing.claims'
-import type { GenerationDispatcher, GenerationWork } from '@pulleystack/routing.dispatch'
+import type { StoredOutcome } from '@pulleystack/routing.claims'
+import type { GenerationDispatcher, GenerationRequest } from '@pulleystack/routing.dispatch'
 import {
   createChunkRenderer,
   parseCompletionRequest,
@@ -47,7 +47,7 @@
   await runWithKey(opts, context, { completion, work, metadata, key, body })
 }
 
-function buildWork (context: RequestContext, completion: CompletionRequest, target: ModelTarget): GenerationWork {
+function buildWork (context: RequestContext, completion: CompletionRequest, target: ModelTarget): GenerationRequest {
   const { service } = target
   return {
     request: context.id,
@@ -64,7 +64,7 @@
   }
 }
 
-function checkIdempotencyKey (target: ModelTarget, work: GenerationWork): void {
+function checkIdempotencyKey (target: ModelTarget, work: GenerationRequest): void {
   if (work.repeatable || !target.service.spec.requireKey) return
   throw new PulleystackError('KEY_MISSING', `Service "${target.service.name}" requires an Idempotency-Key for non-repeatable requests`, { field: 'idempotency-key' })
 }
@@ -73,7 +73,7 @@
   opts: CompletionOptions,
   context: RequestContext,
   completion: CompletionRequest,
-  work: GenerationWork,
+  work: GenerationRequest,
   metadata: CompletionMetadata,
 ): Promise<void> {
   const run: GenerationRunner = (sink) => opts.generations.run(work, sink)
@@ -84,7 +84,7 @@
 async function runWithKey (
   opts: CompletionOptions,
   context: RequestContext,
-  keyed: { completion: CompletionRequest, work: GenerationWork, metadata: CompletionMetadata, key: string, body: Buffer },
+  keyed: { completion: CompletionRequest, work: GenerationRequest, metadata: CompletionMetadata, key: string, body: Buffer },
 ): Promise<void> {
   const { completion, work, metadata } = keyed
   const keyedRequest = {
@@ -112,7 +112,7 @@
   else sendOutcome(context, outcome)
 }
 
-async function collectResponse (metadata: CompletionMetadata, run: GenerationRunner): Promise<KeptOutcome> {
+async function collectResponse (metadata: CompletionMetadata, run: GenerationRunner): Promise<StoredOutcome> {
   let text = ''
   const end = await run((token) => {
     text += token.text
@@ -120,7 +120,7 @@
   return { status: 200, contentType: 'application/json', body: JSON.stringify(renderCompletion(metadata, text, end.finish, end.tokens)) }
 }
 
-function sendOutcome (context: RequestContext, outcome: KeptOutcome): void {
+function sendOutcome (context: RequestContext, outcome: StoredOutcome): void {
   context.response.writeHead(outcome.status, {
     'content-type': outcome.contentType,
     'content-length': Buffer.byteLength(outcome.body ?? ''),
@@ -130,7 +130,7 @@
 }
 
 /** Streams tokens as server-sent events. A failed stream ends with an error event and a closed connection, never with [DONE]. */
-async function streamResponse (context: RequestContext, metadata: CompletionMetadata, run: GenerationRunner, mustRecord = false): Promise<KeptOutcome> {
+async function streamResponse (context: RequestContext, metadata: CompletionMetadata, run: GenerationRunner, mustRecord = false): Promise<StoredOutcome> {
   const { response } = context
   const renderToken = createChunkRenderer(metadata)
   let recorded = ''
@@ -168,7 +168,7 @@
   })
 }
 
-function replayStream (context: RequestContext, outcome: KeptOutcome): void {
+function replayStream (context: RequestContext, outcome: StoredOutcome): void {
   if (outcome.contentType !== 'text/event-stream') {
     sendOutcome(context, outcome)
     return
--- a/gateway/callers/src/handleServiceCall.ts
+++ b/gateway/callers/src/handleServiceCall.ts
@@ -6,8 +6,8 @@
 import { PulleystackError } from '@pulleystack/core.errors'
 import { HeaderNames, readBody } from '@pulleystack/gateway.http'
 import type { ServiceAnswer } from '@pulleystack/backend.interfaces'
-import type { KeptOutcome } from '@pulleystack/routing.claims'
-import type { ServiceDispatcher, ServiceWork } from '@pulleystack/routing.dispatch'
+import type { StoredOutcome } from '@pulleystack/routing.claims'
+import type { ServiceDispatcher, ServiceRequest } from '@pulleystack/routing.dispatch'
 import { computeDeadline, isRepeatable, type RequestContext } from './RequestContext.js'
 import { findAllowedService } from './resolveTarget.js'
 import { runOnce, type RunOnceOptions } from './runOnce.js'
@@ -83,7 +83,7 @@
   }
 }
 
-function buildWork (context: RequestContext, service: ConfigObject<'Service'>, path: string, body: Buffer | undefined): ServiceWork {
+function buildWork (context: RequestContext, service: ConfigObject<'Service'>, path: string, body: Buffer | undefined): ServiceRequest {
   const method = context.request.method ?? 'GET'
   return {
     request: context.id,
@@ -100,7 +100,7 @@
   }
 }
 
-async function runWithKey (opts: ServiceCallOptions, context: RequestContext, work: ServiceWork, key: string): Promise<void> {
+async function runWithKey (opts: ServiceCallOptions, context: RequestContext, work: ServiceRequest, key: string): Promise<void> {
   const body = Buffer.isBuffer(work.body) ? work.body : work.body === undefined ? Buffer.alloc(0) : await readBody(context.request, opts.maxBodyBytes)
   const detachedWork = { ...work, body: body.length > 0 ? body : undefined, signal: new AbortController().signal }
   const keyedRequest = {
@@ -121,7 +121,7 @@
   context.response.end(outcome.body)
 }
 
-async function collectOutcome (serviceResponse: ServiceAnswer): Promise<KeptOutcome> {
+async function collectOutcome (serviceResponse: ServiceAnswer): Promise<StoredOutcome> {
   const contentType = serviceResponse.headers['content-type'] ?? 'application/octet-stream'
   if (Buffer.isBuffer(serviceResponse.body)) return { status: serviceResponse.status, contentType, body: serviceResponse.body.toString() }
   try {
--- a/gateway/callers/src/runOnce.ts
+++ b/gateway/callers/src/runOnce.ts
@@ -2,7 +2,7 @@
 import { PulleystackError, Ran, convertToError } from '@pulleystack/core.errors'
 import type { Clock } from '@pulleystack/core.clock'
 import type { MembershipView } from '@pulleystack/membership.view'
-import type { ClaimClient, ClaimRequest, KeptOutcome } from '@pulleystack/routing.claims'
+import type { ClaimClient, ClaimRequest, StoredOutcome } from '@pulleystack/routing.claims'
 import { EventKinds, type EventRing } from '@pulleystack/timeline.events'
 
 const INITIAL_POLL_MS = 250
@@ -31,13 +31,13 @@
  * Runs work at most once across all instances for an Idempotency-Key. The first request claims the key and stores its
  * outcome, which all later ones get. An error with `ran: no` releases the key; after any other error it stays claimed.
  */
-export async function runOnce (opts: RunOnceOptions, keyed: KeyedRequest, run: () => Promise<KeptOutcome>): Promise<KeptOutcome> {
+export async function runOnce (opts: RunOnceOptions, keyed: KeyedRequest, run: () => Promise<StoredOutcome>): Promise<StoredOutcome> {
   const claim = buildClaim(opts, keyed)
   const storedOutcome = await acquireClaim(opts, keyed, claim)
   if (storedOutcome) return storedOutcome
   try {
     const outcome = await run()
-    opts.claims.keepOutcome(claim, outcome)
+    opts.claims.storeOutcome(claim, outcome)
     return outcome
   } catch (thrown) {
     const error = convertToError(thrown)
@@ -57,7 +57,7 @@
 }
 
 /** Returns undefined once this request holds the claim, or the stored outcome of an earlier one. Throws if neither is possible in time. */
-async function acquireClaim (opts: RunOnceOptions, keyed: KeyedRequest, claim: ClaimRequest): Promise<KeptOutcome | undefined> {
+async function acquireClaim (opts: RunOnceOptions, keyed: KeyedRequest, claim: ClaimRequest): Promise<StoredOutcome | undefined> {
   for (let pollMs = INITIAL_POLL_MS; ; pollMs = Math.min(MAX_POLL_MS, pollMs * 2)) {
     const decision = await requestClaim(opts, keyed, claim)
     if (decision.kind === 'mismatch') {
@@ -106,7 +106,7 @@
   if (keyed.signal.aborted) throw new PulleystackError('CALLER_GONE', 'The caller disconnected')
 }
 
-function checkOutcomeBody (outcome: KeptOutcome): KeptOutcome {
+function checkOutcomeBody (outcome: StoredOutcome): StoredOutcome {
   if (outcome.body !== undefined) return outcome
   throw new PulleystackError('CLAIM_OUTCOME_TOO_LARGE', `The first request was answered with status ${outcome.status}; its response was too large to store`)
 }
--- a/gateway/callers/test/runOnce.test.ts
+++ b/gateway/callers/test/runOnce.test.ts
@@ -4,7 +4,7 @@
 import { PulleystackError, Ran, convertToError } from '@pulleystack/core.errors'
 import { FakeHub } from '@pulleystack/membership.fake-network'
 import { MemoryObjectStore } from '@pulleystack/emulator.stand-ins'
-import { ClaimClient, type KeptOutcome } from '@pulleystack/routing.claims'
+import { ClaimClient, type StoredOutcome } from '@pulleystack/routing.claims'
 import { EventRing } from '@pulleystack/timeline.events'
 import { checkProperty, createView, MortalStore } from '@pulleystack/tools.testing'
 import fc from 'fast-check'
@@ -21,7 +21,7 @@
 interface Answer {
   request: string
   key: string
-  outcome?: KeptOutcome
+  outcome?: StoredOutcome
   error?: PulleystackError
 }
 
@@ -50,9 +50,9 @@
       network,
       store,
       shards: 2,
-      keepMs: 600_000,
+      retentionMs: 600_000,
       writesPerSecond: 40,
-      createOperation: () => `${name}-${this.nextId++}`,
+      createOperationId: () => `${name}-${this.nextId++}`,
     })
     return { name, store, clock, view, claims, ring: new EventRing({ clock, instance: name, dataHall: 'h' }) }
   }
@@ -61,7 +61,7 @@
     const instance = this.instances[i] as TestInstance
     instance.store.dead = true
     this.network.removeNode(instance.name)
-    this.clock.setTimer(1_500, () => this.instances.forEach((other) => other.view.noteSilent(instance.name)))
+    this.clock.setTimer(1_500, () => this.instances.forEach((other) => other.view.recordSilent(instance.name)))
   }
 
   /** Sends a request to an instance; its work takes RUN_MS and ends as `effect` says. */
@@ -79,7 +79,7 @@
       deadline: this.clock.readTime() + (opts.deadlineMs ?? 5_000),
       signal: new AbortController().signal,
     }
-    const run = async (): Promise<KeptOutcome> => {
+    const run = async (): Promise<StoredOutcome> => {
       await this.clock.wait(RUN_MS)
       if (instance.store.dead) return new Promise(() => undefined)
       if (opts.effect === 'no') throw new PulleystackError('BACKEND_REFUSED', 'refused')
@@ -131,15 +131,15 @@
   else if (it.do === 'loseWrites') cluster.store.faults.loseWrites += it.count
   else if (it.do === 'slow') cluster.store.faults.delayMs = it.ms
   else if (it.do === 'cut') cluster.network.cut(NAMES[it.a] as string, NAMES[it.b] as string)
-  else if (it.do === 'lossy') cluster.network.lossShare = it.share
+  else if (it.do === 'lossy') cluster.network.lossProbability = it.share
   else if (it.do === 'down') {
     cluster.store.faults.down = true
     cluster.clock.setTimer(it.ms, () => {
       cluster.store.faults.down = false
     })
   } else {
-    cluster.network.healAll()
-    cluster.network.lossShare = 0
+    cluster.network.clearPartitions()
+    cluster.network.lossProbability = 0
   }
 }
 
@@ -247,8 +247,8 @@
           await cluster.clock.advance(waitMs)
         }
         Object.assign(cluster.store.faults, { down: false, delayMs: 0, loseAnswers: 0, loseWrites: 0 })
-        cluster.network.healAll()
-        cluster.network.lossShare = 0
+        cluster.network.clearPartitions()
+        cluster.network.lossProbability = 0
         await cluster.clock.advance(20_000)
         cluster.check()
       }, 150)
--- a/gateway/http/src/headers.ts
+++ b/gateway/http/src/headers.ts
@@ -4,7 +4,7 @@
 const BEARER_PATTERN = /^Bearer +([\x21-\x7e]{1,200})$/i
 
 /** Returns the bearer token of the Authorization header; undefined when it is missing or malformed. */
-export function parseBearer (headers: http.IncomingHttpHeaders): string | undefined {
+export function parseBearerToken (headers: http.IncomingHttpHeaders): string | undefined {
   return BEARER_PATTERN.exec(headers.authorization ?? '')?.[1]
 }
 
--- a/gateway/routed/src/AttemptSignal.ts
+++ b/gateway/routed/src/AttemptSignal.ts
@@ -15,9 +15,9 @@
 export interface AttemptSignal {
   signal: AbortSignal
   /** Records received data; from then on the silence limit within a stream applies. */
-  noteActivity: () => void
+  recordActivity: () => void
   /** Suspends the silence check while reading is paused for a slow client. */
-  notePaused: (isPaused: boolean) => void
+  setPaused: (isPaused: boolean) => void
   release: () => void
 }
 
@@ -50,11 +50,11 @@
   if (opts.isSilenceWatched) checkSilence()
   return {
     signal: controller.signal,
-    noteActivity: () => {
+    recordActivity: () => {
       lastActivityAt = clock.readTime()
       limitMs = (work.route.longestPauseMs ?? DEFAULT_PAUSE_MS) * STALL_PAUSE_FACTOR
     },
-    notePaused: (paused) => {
+    setPaused: (paused) => {
       isPaused = paused
       lastActivityAt = clock.readTime()
     },
--- a/gateway/routed/src/BackendQueue.ts
+++ b/gateway/routed/src/BackendQueue.ts
@@ -1,8 +1,8 @@
 import type { Policy } from '@pulleystack/config.settings'
 import type { Clock, RandomSource } from '@pulleystack/core.clock'
 import { PulleystackError, Ran } from '@pulleystack/core.errors'
-import { estimateLoadMs, type NeedAnswer, type ResidencyClient } from '@pulleystack/placement.residency'
-import { compareUrgency, isInTime, judgeWait, type Candidate, type WaitEstimate } from '@pulleystack/routing.admission'
+import { estimateLoadMs, type WeightsAnswer, type ResidencyClient } from '@pulleystack/placement.residency'
+import { compareUrgency, isWithinTarget, judgeWait, type Candidate, type WaitEstimate } from '@pulleystack/routing.admission'
 import { ChoiceFailures, PREFILL_TOKENS_PER_MS, chooseBackend, nameWeights, type Backend, type BackendChoice, type BackendFleet, type ChoiceFailure } from '@pulleystack/routing.fleet'
 import type { ServerPermits } from '@pulleystack/routing.permits'
 import { DecisionKinds, type DecisionLog } from '@pulleystack/timeline.decisions'
@@ -33,7 +33,7 @@
   /** Monotone time in milliseconds. */
   nextWeightsRequestAt: number
   /** Latest answer of the model placement; undefined before the first. */
-  weightsAnswer: NeedAnswer | undefined
+  weightsAnswer: WeightsAnswer | undefined
   /** Monotone time of that answer in milliseconds. */
   weightsAnsweredAt: number
   lastFailure: ChoiceFailure
@@ -45,7 +45,7 @@
   random: RandomSource
   fleet: BackendFleet
   /** Undefined where servers announce no rate limits. */
-  permits?: Pick<ServerPermits, 'request' | 'giveBack'>
+  permits?: Pick<ServerPermits, 'request' | 'release'>
   residency: ResidencyClient
   log: DecisionLog
   dataHall: string
@@ -64,7 +64,7 @@
   constructor (private readonly opts: BackendQueueOptions) {
     this.forecast = new SlotForecast(opts)
     this.permitDemand = new PermitDemand(opts.permits)
-    opts.fleet.changes.subscribe(() => this.pump())
+    opts.fleet.changes.subscribe(() => this.assignSlots())
   }
 
   get size (): number {
@@ -77,7 +77,7 @@
 
   /** Resolves with a slot; rejects, always with `ran: no`, as soon as none is expected in time. */
   acquire (work: RoutedWork): Promise<BackendSlot> {
-    this.forecast.noteArrived(work)
+    this.forecast.recordArrival(work)
     if (this.waiting.length === 0) {
       const slot = this.tryAcquire(work)
       // Permits requested for a better, rate-limited server can serve the next request.
@@ -106,7 +106,7 @@
   }
 
   /** Assigns free slots to waiting requests, and rejects requests for which none is expected in time. */
-  pump (): void {
+  assignSlots (): void {
     this.rankWaiting()
     for (const item of [...this.waiting]) {
       if (!this.waiting.includes(item)) continue
@@ -120,7 +120,7 @@
   /** An overdue request leaves slots to requests at other instances that can still meet their latency targets. */
   private mustYield ({ work, candidate }: WaitingRequest): boolean {
     if (!this.opts.policy.timelyFirst || hasPartialAnswer(work)) return false
-    if (isInTime(candidate, this.opts.clock.readTime()) || this.opts.fleet.waiting.countAtPeers(buildQueueKey(work)) === 0) return false
+    if (isWithinTarget(candidate, this.opts.clock.readTime()) || this.opts.fleet.waiting.countAtPeers(buildQueueKey(work)) === 0) return false
     return typeof this.chooseServer(work, this.computePrefillLimit(work), work.excluded) !== 'string'
   }
 
@@ -145,16 +145,16 @@
     if (typeof choice === 'string') return choice
     const { generation } = work
     if (generation) this.opts.fleet.recordPrefix(choice.backend, nameWeights(generation.model, generation.adapter), generation.parts)
-    const stopTracking = this.forecast.noteAcquired(choice.backend.id)
+    const stopTracking = this.forecast.recordAcquired(choice.backend.id)
     const slot: BackendSlot = new BackendSlot(choice, work, this.opts.clock, (change) => {
       this.opts.fleet.announceLoadChange()
       if (change === SlotChanges.ACQUIRED) return
-      if (change === SlotChanges.UNSENT) this.permitDemand.giveBack(choice.backend)
+      if (change === SlotChanges.UNSENT) this.permitDemand.release(choice.backend)
       if (change === SlotChanges.RELEASED) {
         stopTracking()
         this.noteEnded(slot, work)
       }
-      this.pump()
+      this.assignSlots()
     })
     return slot
   }
@@ -173,7 +173,7 @@
         generation: work.generation,
         overcommitShare: QUEUE_SHARE,
         prefillLimit,
-        mustAvoidSuspects: work.mustBeApart,
+        mustAvoidSuspects: work.mustAvoidSuspects,
       },
       capacity: work.service.serving,
       policy: this.opts.policy,
@@ -193,11 +193,11 @@
     if (!times) return
     const { generation, service } = work
     const readTokens = Math.max(0, (generation?.promptTokens ?? 0) - slot.choice.cachedTokens)
-    this.forecast.noteServed(work, { ...times, readTokens })
+    this.forecast.recordServed(work, { ...times, readTokens })
     if (!generation) return
     this.notePause(slot, work)
     const { model, adapter } = generation
-    this.opts.residency.noteEnded({ service: service.name, model, adapter }, { heldMs: times.heldMs, readTokens })
+    this.opts.residency.recordEnded({ service: service.name, model, adapter }, { heldMs: times.heldMs, readTokens })
   }
 
   /** Skips resumed streams: their longest pause may be due to the failure of the former server. */
@@ -217,7 +217,7 @@
         fleet.announceLoadChange()
       }
       const candidate = this.forecast.createCandidate(work, policy.patienceBound)
-      let removeTally = isInTime(candidate, clock.readTime()) ? fleet.waiting.add(buildQueueKey(work)) : () => undefined
+      let removeTally = isWithinTarget(candidate, clock.readTime()) ? fleet.waiting.add(buildQueueKey(work)) : () => undefined
       const item: WaitingRequest = {
         work,
         candidate,
@@ -247,7 +247,7 @@
           fleet.announceLoadChange()
           this.tryIgnoringPrefillLimit(item)
         }),
-        setTimer(candidate.latestAt, () => {
+        setTimer(candidate.expiresAt, () => {
           this.tryIgnoringPrefillLimit(item)
           if (this.waiting.includes(item)) item.reject(createRejection(item.lastFailure, this.computeRetryAfterSeconds(work)))
         }),
@@ -256,7 +256,7 @@
       this.waiting.push(item)
       fleet.announceLoadChange()
       if (work.signal.aborted) handleAbort()
-      else this.pump()
+      else this.assignSlots()
       if (this.waiting.includes(item)) this.recordWaiting(item)
     })
   }
@@ -272,7 +272,7 @@
   private checkBackoff (item: WaitingRequest): void {
     const leftMs = this.forecast.readBackoffMs(item.work)
     if (leftMs === undefined) return
-    this.checkSlotWait(item, () => ({ inTimeMs: leftMs, lateMs: leftMs }))
+    this.checkSlotWait(item, () => ({ withinTargetMs: leftMs, overdueMs: leftMs }))
     if (this.waiting.includes(item)) this.schedulePass(leftMs)
   }
 
@@ -293,7 +293,7 @@
     this.nextPass?.cancel()
     const cancel = clock.setTimer(ms, () => {
       this.nextPass = undefined
-      this.pump()
+      this.assignSlots()
     })
     this.nextPass = { at, cancel }
   }
@@ -303,7 +303,7 @@
     this.requestWeights(item, true)
     const { work, candidate, weightsAnswer } = item
     if (work.generation && !weightsAnswer) return
-    if (weightsAnswer?.coming && item.weightsAnsweredAt + weightsAnswer.expectedMs <= candidate.latestAt) return
+    if (weightsAnswer?.coming && item.weightsAnsweredAt + weightsAnswer.expectedMs <= candidate.expiresAt) return
     this.checkWait(item, estimate())
   }
 
@@ -331,7 +331,7 @@
     // Without an ordered load, the minimal duration of a load is a lower bound.
     const expectedMs = weightsAnswer.coming ? weightsAnswer.expectedMs : weightsAnswer.earliestMs ?? this.estimateLoadMs(work)
     if (hasPartialAnswer(work) || !this.opts.policy.waitEstimate) return
-    if (weightsAnsweredAt + expectedMs <= candidate.latestAt) return
+    if (weightsAnsweredAt + expectedMs <= candidate.expiresAt) return
     item.reject(new PulleystackError('NO_RUNNER', 'The model will not be loaded in time', {
       retryAfterSeconds: this.computeRetryAfterSeconds(work, expectedMs),
     }))
@@ -369,13 +369,13 @@
     if (!item.work.generation || clock.readTime() < item.nextWeightsRequestAt) return
     item.nextWeightsRequestAt = clock.readTime() + WEIGHTS_REQUEST_INTERVAL_MS
     const { model, adapter } = item.work.generation
-    const waitMs = item.candidate.latestAt - clock.readTime()
+    const waitMs = item.candidate.expiresAt - clock.readTime()
     void residency.requestWeights({ service: item.work.service.name, model, adapter, isMore: isExtraCopy, waitMs }).then((answer) => {
       if (!this.waiting.includes(item)) return
       item.weightsAnswer = answer
       item.weightsAnsweredAt = clock.readTime()
       if (item.lastFailure === ChoiceFailures.NOT_RESIDENT) this.checkWeightsWait(item)
-      else this.pump()
+      else this.assignSlots()
     })
   }
 }
--- a/gateway/routed/src/BackendSlot.ts
+++ b/gateway/routed/src/BackendSlot.ts
@@ -52,17 +52,17 @@
   }
 
   /** Marks the permit as used: the request may reach the server from now on. */
-  noteSent (): void {
+  recordSent (): void {
     this.hasPermit = false
   }
 
   /** Records that the server accepted the request, which raises the ramp-up allowance after a pause. */
-  noteAnswered (): void {
+  recordResponse (): void {
     if (this.rampUp.recordResponse()) this.onChange(SlotChanges.RAMPING)
   }
 
   /** Records that the server has processed the prompt. */
-  notePrefilled (): void {
+  recordPrefilled (): void {
     this.prefilledAt ??= this.clock.readTime()
     this.releasePrefill()
   }
--- a/gateway/routed/src/ClientAnswer.ts
+++ b/gateway/routed/src/ClientResponse.ts
@@ -2,7 +2,7 @@
 import type { PulleystackError } from '@pulleystack/core.errors'
 import { Ran } from '@pulleystack/core.errors'
 import { listEndToEnd } from '@pulleystack/core.headers'
-import type { ExchangeAnswer } from '@pulleystack/routing.forward'
+import type { ExchangeResponse } from '@pulleystack/routing.forward'
 import { RELAY_HEADER_NAMES, RelayHeaders } from './relayHeaders.js'
 
 const OMITTED_HEADERS = new Set<string>(['content-length', ...RELAY_HEADER_NAMES])
@@ -10,7 +10,7 @@
 /** Statuses that are sent with a Retry-After header. */
 const RETRY_STATUSES: ReadonlySet<number> = new Set([429, 503])
 
-export interface ClientAnswerOptions {
+export interface ClientResponseOptions {
   response: http.ServerResponse
   ownHeaders: Record<string, string>
   /** Reads the configuration version to report to the instance that relayed the request; undefined for a direct request. */
@@ -20,24 +20,24 @@
 }
 
 /** The response to one client. An incomplete response is never made to look complete. */
-export class ClientAnswer {
-  constructor (private readonly opts: ClientAnswerOptions) {}
+export class ClientResponse {
+  constructor (private readonly opts: ClientResponseOptions) {}
 
   get hasBegun (): boolean {
     return this.opts.response.headersSent
   }
 
   /** Sends a complete response of a backend server. */
-  sendBuffered (answer: ExchangeAnswer, body: Buffer): void {
-    const headers = listEndToEnd(answer.rawHeaders, OMITTED_HEADERS)
-    if (answer.status !== 204 && answer.status !== 304) headers.push('Content-Length', String(body.length))
-    this.writeHead(answer, headers)
+  sendBuffered (response: ExchangeResponse, body: Buffer): void {
+    const headers = listEndToEnd(response.rawHeaders, OMITTED_HEADERS)
+    if (response.status !== 204 && response.status !== 304) headers.push('Content-Length', String(body.length))
+    this.writeHead(response, headers)
     this.opts.response.end(body)
   }
 
   /** Sends the head of a streamed response. */
-  beginStream (answer: ExchangeAnswer): void {
-    this.writeHead(answer, listEndToEnd(answer.rawHeaders, OMITTED_HEADERS))
+  beginStream (response: ExchangeResponse): void {
+    this.writeHead(response, listEndToEnd(response.rawHeaders, OMITTED_HEADERS))
   }
 
   /** Returns false when the caller should wait for `onDrain` before writing more. */
@@ -79,11 +79,11 @@
     response.end(body)
   }
 
-  private writeHead (answer: ExchangeAnswer, headers: string[]): void {
+  private writeHead (response: ExchangeResponse, headers: string[]): void {
     if (this.opts.mustClose()) headers.push('Connection', 'close')
     const version = this.opts.readRelayVersion?.()
     if (version !== undefined) headers.push(RelayHeaders.VERSION, String(version))
-    this.opts.response.writeHead(answer.status, answer.statusMessage, headers)
+    this.opts.response.writeHead(response.status, response.statusMessage, headers)
   }
 }
 
--- a/gateway/routed/src/InstanceRelay.ts
+++ b/gateway/routed/src/InstanceRelay.ts
@@ -1,10 +1,10 @@
 import type { IncomingHttpHeaders } from 'node:http'
-import type { AnswerFacts, RoutedProtocol } from '@pulleystack/backend.interfaces'
+import type { ResponseFacts, RoutedProtocol } from '@pulleystack/backend.interfaces'
 import type { Clock } from '@pulleystack/core.clock'
 import { PulleystackError, convertToError } from '@pulleystack/core.errors'
-import { openExchange, type BackendAgent, type ExchangeAnswer } from '@pulleystack/routing.forward'
+import { openExchange, type BackendAgent, type ExchangeResponse } from '@pulleystack/routing.forward'
 import { DecisionKinds, type DecisionLog } from '@pulleystack/timeline.decisions'
-import type { ClientAnswer } from './ClientAnswer.js'
+import type { ClientResponse } from './ClientResponse.js'
 import { RelayHeaders } from './relayHeaders.js'
 
 /** Far longer than connecting to another data hall takes. */
@@ -66,27 +66,27 @@
   }
 
   /** Relays the response of a serving instance; rejects with `ran: no` if none was reached or all of them have older configurations. */
-  async run (request: RelayedRequest, client: ClientAnswer): Promise<void> {
+  async run (request: RelayedRequest, client: ClientResponse): Promise<void> {
     let failure = createNoTargetError()
     for (const target of this.opts.listTargets().slice(0, MAX_TARGETS)) {
-      const answer = await this.send(target, request)
-      if (answer instanceof PulleystackError) {
-        failure = answer
+      const response = await this.send(target, request)
+      if (response instanceof PulleystackError) {
+        failure = response
         continue
       }
-      await relayAnswer(answer, client)
+      await relayResponse(response, client)
       return
     }
     throw failure
   }
 
   /** Returns the response, or the error of an instance that is known not to have run the request, so that another one can be tried. */
-  private async send (target: RelayTarget, request: RelayedRequest): Promise<ExchangeAnswer | PulleystackError> {
+  private async send (target: RelayTarget, request: RelayedRequest): Promise<ExchangeResponse | PulleystackError> {
     this.opts.log.record(DecisionKinds.REQUEST_RELAYED, { request: request.requestId, peer: target.instance })
     try {
-      const answer = await openExchange({
+      const response = await openExchange({
         agent: this.opts.agent,
-        protocol: { readAnswer: (status, headers) => this.readAnswer(status, headers) },
+        protocol: { readResponse: (status, headers) => this.readResponse(status, headers) },
         clock: this.opts.clock,
         address: target.address,
         method: request.method,
@@ -94,11 +94,11 @@
         headers: this.buildHeaders(request),
         body: request.body,
         requestId: request.requestId,
-        connectMs: CONNECT_TIMEOUT_MS,
+        connectTimeoutMs: CONNECT_TIMEOUT_MS,
         signal: request.signal,
       })
-      this.noteVersion(answer)
-      return answer
+      this.noteVersion(response)
+      return response
     } catch (thrown) {
       const error = convertToError(thrown)
       if (request.signal.aborted) throw error
@@ -117,34 +117,34 @@
   }
 
   /** Any response of an instance is final, unless it reports an outdated configuration. */
-  private readAnswer (status: number, headers: IncomingHttpHeaders): AnswerFacts {
-    const { requestId } = this.opts.protocol.readAnswer(status, headers)
+  private readResponse (status: number, headers: IncomingHttpHeaders): ResponseFacts {
+    const { requestId } = this.opts.protocol.readResponse(status, headers)
     return { requestId, signed: true, notRun: headers[RelayHeaders.OUTDATED] !== undefined }
   }
 
-  private noteVersion (answer: ExchangeAnswer): void {
-    const version = Number(findHeader(answer, RelayHeaders.VERSION))
+  private noteVersion (response: ExchangeResponse): void {
+    const version = Number(findHeader(response, RelayHeaders.VERSION))
     if (version > this.latestVersion) this.latestVersion = version
   }
 }
 
-async function relayAnswer (answer: ExchangeAnswer, client: ClientAnswer): Promise<void> {
-  if (findHeader(answer, 'content-length') !== undefined) {
-    client.sendBuffered(answer, await answer.readWhole(MAX_BODY_BYTES))
+async function relayResponse (response: ExchangeResponse, client: ClientResponse): Promise<void> {
+  if (findHeader(response, 'content-length') !== undefined) {
+    client.sendBuffered(response, await response.readBody(MAX_BODY_BYTES))
     return
   }
-  client.beginStream(answer)
-  await answer.read((chunk) => {
+  client.beginStream(response)
+  await response.read((chunk) => {
     if (client.write(chunk)) return
-    answer.pause()
-    client.onDrain(() => answer.resume())
+    response.pause()
+    client.onDrain(() => response.resume())
   })
   client.endStream()
 }
 
-function findHeader (answer: ExchangeAnswer, name: string): string | undefined {
-  const at = answer.rawHeaders.findIndex((it, index) => index % 2 === 0 && it.toLowerCase() === name)
-  return at < 0 ? undefined : answer.rawHeaders[at + 1]
+function findHeader (response: ExchangeResponse, name: string): string | undefined {
+  const at = response.rawHeaders.findIndex((it, index) => index % 2 === 0 && it.toLowerCase() === name)
+  return at < 0 ? undefined : response.rawHeaders[at + 1]
 }
 
 function createNoTargetError (cause?: PulleystackError): PulleystackError {
--- a/gateway/routed/src/PermitDemand.ts
+++ b/gateway/routed/src/PermitDemand.ts
@@ -6,7 +6,7 @@
   private readonly countByServer = new Map<Backend, number>()
 
   /** Without `permits` no permits are requested. */
-  constructor (private readonly permits: Pick<ServerPermits, 'request' | 'giveBack'> | undefined) {}
+  constructor (private readonly permits: Pick<ServerPermits, 'request' | 'release'> | undefined) {}
 
   /** Counts one more request that lacks a permit for the server. */
   add (backend: Backend): void {
@@ -21,7 +21,7 @@
   }
 
   /** Returns the permit of a request that was not sent. */
-  giveBack (backend: Backend): void {
-    this.permits?.giveBack(backend, 1)
+  release (backend: Backend): void {
+    this.permits?.release(backend, 1)
   }
 }
--- a/gateway/routed/src/QuotaGate.ts
+++ b/gateway/routed/src/QuotaGate.ts
@@ -47,7 +47,7 @@
     onUnits(team.name, QuotaOutcomes.GRANTED, units)
     const settle = (error: PulleystackError): void => {
       if (error.ran !== Ran.NO) return
-      limits.giveBack(team, units)
+      limits.release(team, units)
       onUnits(team.name, QuotaOutcomes.GIVEN_BACK, units)
     }
     return { settle }
--- a/gateway/routed/src/RoutedGateway.ts
+++ b/gateway/routed/src/RoutedGateway.ts
@@ -5,9 +5,9 @@
 import { listEndToEnd } from '@pulleystack/core.headers'
 import { readBody } from '@pulleystack/gateway.http'
 import type { ResidencyClient } from '@pulleystack/placement.residency'
-import { FirstTries } from '@pulleystack/routing.admission'
+import { RetryEstimator } from '@pulleystack/routing.admission'
 import { DecisionKinds } from '@pulleystack/timeline.decisions'
-import { ClientAnswer, chooseStatus } from './ClientAnswer.js'
+import { ClientResponse, chooseStatus } from './ClientResponse.js'
 import { findTeam } from './findTeam.js'
 import type { QuotaGate, QuotaUse } from './QuotaGate.js'
 import { createStreamProgress, type StreamProgress } from './relayStream.js'
@@ -28,7 +28,7 @@
 /** The serving instance enforces the configured limit. */
 const MAX_RELAY_BODY_BYTES = 32 << 20
 /** Time after which the connection of a client that does not read a finished response is closed. */
-const UNREAD_ANSWER_TIMEOUT_MS = 30_000
+const UNREAD_RESPONSE_TIMEOUT_MS = 30_000
 
 /** Outcome of a routed request, for metrics. */
 export interface RoutedOutcome {
@@ -55,7 +55,7 @@
   /** Whether the routes in force are known to be the newest. */
   isTableCurrent: () => boolean
   /** Whether a request with this deadline may begin; false when the process will stop before it. */
-  mayBegin: (deadline: number) => boolean
+  mayStart: (deadline: number) => boolean
   /** Whether connections have to close after their current response. */
   mustClose: () => boolean
   onOutcome: (outcome: RoutedOutcome) => void
@@ -98,10 +98,10 @@
   private readonly unfinished = new Set<UnfinishedRequest>()
   /** Requests that are running or waiting for a slot. */
   private readonly requestsInProgress = new Map<RoutedWork, RequestAborter>()
-  private readonly firstTries: FirstTries
+  private readonly firstTries: RetryEstimator
 
   constructor (private readonly opts: RoutedGatewayOptions) {
-    this.firstTries = new FirstTries(opts.clock)
+    this.firstTries = new RetryEstimator(opts.clock)
     opts.suspects.changes.subscribe((identity) => this.cancelRejected(identity))
   }
 
@@ -131,7 +131,7 @@
     this.active++
     const sent = waitUntilSent(response)
     await this.answer(request, response, arrivedAt)
-    const cancelTimer = this.opts.clock.setTimer(UNREAD_ANSWER_TIMEOUT_MS, () => response.destroy())
+    const cancelTimer = this.opts.clock.setTimer(UNREAD_RESPONSE_TIMEOUT_MS, () => response.destroy())
     await sent
     cancelTimer()
     this.active--
@@ -140,7 +140,7 @@
   private async answer (request: http.IncomingMessage, response: http.ServerResponse, arrivedAt: number): Promise<void> {
     const facts = this.opts.protocol.readRequest(request.headers)
     const minVersion = readMinVersion(request.headers)
-    const client = new ClientAnswer({
+    const client = new ClientResponse({
       response,
       ownHeaders: this.opts.protocol.buildOwnHeaders(facts.requestId),
       readRelayVersion: () => minVersion === undefined ? undefined : this.opts.readTable()?.config.version,
@@ -213,7 +213,7 @@
   }
 
   private checkMayBegin (deadline: number): void {
-    if (this.opts.mayBegin(deadline)) return
+    if (this.opts.mayStart(deadline)) return
     throw new PulleystackError('INSTANCE_STOPPING', 'This instance will shut down before the deadline of the request', { retryAfterSeconds: 0 })
   }
 
@@ -229,7 +229,7 @@
   }
 
   /** Forwards a request to a serving instance and relays its response. */
-  private async relay ({ facts, request, arrivedAt, aborter }: RequestToRelay, client: ClientAnswer): Promise<void> {
+  private async relay ({ facts, request, arrivedAt, aborter }: RequestToRelay, client: ClientResponse): Promise<void> {
     const deadline = arrivedAt + Math.min(RELAY_TIMEOUT_MS, facts.waitMs ?? Infinity)
     this.checkMayBegin(deadline)
     const cancel = this.opts.clock.setTimer(Math.max(0, deadline - this.opts.clock.readTime()), () => aborter.expire())
@@ -265,7 +265,7 @@
       service,
       team,
       priority: team?.priority ?? route.priority,
-      hidesKey: table.hasTeams,
+      removesAccessKey: table.hasTeams,
       host: (request.headers.host ?? '').toLowerCase(),
       method: request.method ?? 'GET',
       path: request.url ?? '/',
@@ -274,7 +274,7 @@
       arrivedAt: arrived.arrivedAt,
       deadline: arrived.deadline,
       generation: service.serving ? estimateGeneration(facts) : undefined,
-      firstTriedAt: arrived.arrivedAt - (facts.waitMs === undefined ? 0 : this.firstTries.noteTry(route.name, facts.waitMs)),
+      firstTriedAt: arrived.arrivedAt - (facts.waitMs === undefined ? 0 : this.firstTries.estimateElapsedMs(route.name, facts.waitMs)),
       excluded: new Set(),
       stream: createStreamProgress(facts.lastEventId),
       signal: arrived.signal,
@@ -289,8 +289,8 @@
     if (!generation) return () => undefined
     const weights = { service: service.name, model: generation.model, adapter: generation.adapter }
     // A retry by the client was counted at its first try.
-    if (work.firstTriedAt === work.arrivedAt) residency.noteDemand(weights)
-    return residency.noteInHand(weights)
+    if (work.firstTriedAt === work.arrivedAt) residency.recordRequest(weights)
+    return residency.recordInFlight(weights)
   }
 
   private recordOutcome (finished: EndedRequest): void {
--- a/gateway/routed/src/RoutedWork.ts
+++ b/gateway/routed/src/RoutedWork.ts
@@ -17,7 +17,7 @@
   /** 0 is the most urgent. */
   priority: number
   /** Whether the access key is removed before the request is forwarded. */
-  hidesKey: boolean
+  removesAccessKey: boolean
   /** Host header in lower case. */
   host: string
   method: string
@@ -41,7 +41,7 @@
   /** A server crashed while running this request; other requests avoid the servers that run it. */
   isSuspect?: boolean
   /** Several servers crashed while running this request; it must not share a server with another suspect. */
-  mustBeApart?: boolean
+  mustAvoidSuspects?: boolean
 }
 
 /** Estimates the resources needed for a generation. */
--- a/gateway/routed/src/SlotForecast.ts
+++ b/gateway/routed/src/SlotForecast.ts
@@ -1,4 +1,4 @@
-import { RecentMean, RecentRate, estimateWaits, type Candidate, type QueueFacts, type WaitEstimate } from '@pulleystack/routing.admission'
+import { RecentMean, RecentRate, estimateWaits, type Candidate, type QueueState, type WaitEstimate } from '@pulleystack/routing.admission'
 import type { Clock } from '@pulleystack/core.clock'
 import { PREFILL_TOKENS_PER_MS, nameWeights, type Backend, type BackendFleet } from '@pulleystack/routing.fleet'
 import { computePermitsPerSecond } from '@pulleystack/routing.permits'
@@ -41,12 +41,12 @@
     this.arrivalRates = new RecentRate(opts.clock)
   }
 
-  noteArrived (work: RoutedWork): void {
+  recordArrival (work: RoutedWork): void {
     this.arrivalRates.add(buildQueueKey(work))
   }
 
   /** Records a slot held by this instance; the returned function removes it. */
-  noteAcquired (backend: string): () => void {
+  recordAcquired (backend: string): () => void {
     const slots = this.ownSlots.get(backend) ?? new Set()
     this.ownSlots.set(backend, slots)
     const slot = { at: this.opts.clock.readTime() }
@@ -57,7 +57,7 @@
     }
   }
 
-  noteServed (work: RoutedWork, { heldMs, firstOutputMs, readTokens }: ServedRequest): void {
+  recordServed (work: RoutedWork, { heldMs, firstOutputMs, readTokens }: ServedRequest): void {
     for (const key of [buildQueueKey(work), work.service.name]) {
       this.heldMeans.add(key, heldMs)
       this.firstOutputMeans.add(key, firstOutputMs)
@@ -77,7 +77,7 @@
     return {
       priority: work.priority,
       dueAt: work.firstTriedAt + route.targetLatencyMs - firstOutputMs,
-      latestAt: Math.min(work.deadline - heldMs, patienceStart + patienceMs - firstOutputMs),
+      expiresAt: Math.min(work.deadline - heldMs, patienceStart + patienceMs - firstOutputMs),
     }
   }
 
@@ -115,9 +115,9 @@
     const heldMs = 1_000 / perSecond
     const nextMs = computeNextPermitMs(limited, now)
     // Permits arrive one at a time, like slots of a server that runs one request after the other.
-    const permitWait = this.estimateWait(work, ahead, { heldMs, running: 1, ownLeftMs: [nextMs - heldMs], isSteady: true })
+    const permitWait = this.estimateWait(work, ahead, { heldMs, running: 1, ownRemainingMs: [nextMs - heldMs], hasSteadyRate: true })
     if (!slotWait) return permitWait
-    return { inTimeMs: Math.min(permitWait.inTimeMs, slotWait.inTimeMs), lateMs: Math.min(permitWait.lateMs, slotWait.lateMs) }
+    return { withinTargetMs: Math.min(permitWait.withinTargetMs, slotWait.withinTargetMs), overdueMs: Math.min(permitWait.overdueMs, slotWait.overdueMs) }
   }
 
   /** Whether a request for permits of an available server is unanswered. */
@@ -129,17 +129,17 @@
     const heldMs = this.readMean(this.heldMeans, work)
     if (heldMs === undefined) return undefined
     const running = servers.reduce((sum, backend) => sum + backend.readLoad().running, 0)
-    return this.estimateWait(work, ahead, { heldMs: Math.max(1, heldMs), running, ownLeftMs: this.listRemainingMs(servers, heldMs) })
+    return this.estimateWait(work, ahead, { heldMs: Math.max(1, heldMs), running, ownRemainingMs: this.listRemainingMs(servers, heldMs) })
   }
 
   /** Estimates when a server will be below its prefill limit; each server processes one prompt at a time. */
   estimatePrefillWait (work: RoutedWork, ahead: number): WaitEstimate | undefined {
     const prefillMs = this.readMean(this.prefillMeans, work)
     if (prefillMs === undefined) return undefined
-    return this.estimateWait(work, ahead, { heldMs: Math.max(1, prefillMs), running: this.listAvailable(work).length, ownLeftMs: [] })
+    return this.estimateWait(work, ahead, { heldMs: Math.max(1, prefillMs), running: this.listAvailable(work).length, ownRemainingMs: [] })
   }
 
-  private estimateWait (work: RoutedWork, ahead: number, slotUse: Pick<QueueFacts, 'heldMs' | 'running' | 'ownLeftMs' | 'isSteady'>): WaitEstimate {
+  private estimateWait (work: RoutedWork, ahead: number, slotUse: Pick<QueueState, 'heldMs' | 'running' | 'ownRemainingMs' | 'hasSteadyRate'>): WaitEstimate {
     const { fleet } = this.opts
     const key = buildQueueKey(work)
     return estimateWaits({
@@ -147,7 +147,7 @@
       arrivalsPerSecond: this.arrivalRates.read(key),
       ahead,
       waiting: fleet.waiting.countOwn(key),
-      waitingElsewhere: fleet.waiting.countAtPeers(key),
+      waitingAtPeers: fleet.waiting.countAtPeers(key),
     })
   }
 
@@ -176,7 +176,7 @@
   }
 
   private readHighMean (means: RecentMean, work: RoutedWork): number | undefined {
-    return means.readHigh(buildQueueKey(work)) ?? means.readHigh(work.service.name)
+    return means.readUpperBound(buildQueueKey(work)) ?? means.readUpperBound(work.service.name)
   }
 
   /** Falls back to the mean of the whole service for weights without samples. */
--- a/gateway/routed/src/StreamPace.ts
+++ b/gateway/routed/src/StreamFlusher.ts
@@ -4,7 +4,7 @@
 const FLUSH_INTERVAL_MS = 40
 
 /** Flushes the buffered events of all streams together, to reduce writes and timer wake-ups. */
-export class StreamPace {
+export class StreamFlusher {
   private readonly pendingFlushes = new Set<() => void>()
   private isScheduled = false
 
--- a/gateway/routed/src/SuspectGate.ts
+++ b/gateway/routed/src/SuspectGate.ts
@@ -42,9 +42,9 @@
   async admit (work: RoutedWork): Promise<SuspectRun> {
     const { quarantine, clock } = this.opts
     const verdict = this.readVerdict(work)
-    work.isSuspect = verdict !== Verdicts.FREE
-    work.mustBeApart = verdict === Verdicts.ALONE
-    if (verdict === Verdicts.FREE && quarantine.isLoaded) return UNRESTRICTED_RUN
+    work.isSuspect = verdict !== Verdicts.ALLOWED
+    work.mustAvoidSuspects = verdict === Verdicts.EXCLUSIVE
+    if (verdict === Verdicts.ALLOWED && quarantine.isLoaded) return UNRESTRICTED_RUN
     const run = await quarantine.acquire(this.ensureIdentity(work), Math.max(0, work.deadline - clock.readTime()), work.signal)
     if (!run) throw this.createRejection(work)
     return run
@@ -52,28 +52,28 @@
 
   /** Whether the request has become a suspect since it was admitted. */
   hasBecomeSuspect (work: RoutedWork): boolean {
-    return !work.isSuspect && this.readVerdict(work) !== Verdicts.FREE
+    return !work.isSuspect && this.readVerdict(work) !== Verdicts.ALLOWED
   }
 
   /** Checks whether the server crashed or only the connection was lost; a crash counts against the request. */
   async checkServerEnd (work: RoutedWork, { backend, run, send, sentAt }: BrokenAttempt): Promise<void> {
     const { clock, log, probe, quarantine } = this.opts
     const sentMs = Math.round(clock.readTime() - sentAt)
-    if (!this.isExpectedToRun(backend) || !await probe.hasEnded(backend.entry.address)) return
+    if (!this.isExpectedToRun(backend) || !await probe.isDown(backend.entry.address)) return
     const identity = this.ensureIdentity(work)
-    quarantine.noteServerEnd(identity, { life: formatIncarnation(backend.entry), wasOnlyRun: run.isOnly })
+    quarantine.recordCrash(identity, { life: formatIncarnation(backend.entry), wasOnlyRun: run.isOnly })
     const facts = { request: work.requestId, identity, backend: backend.id, address: backend.entry.address }
-    log.record(DecisionKinds.SERVER_ENDED, { ...facts, send, sentMs, events: work.stream.events, ends: quarantine.listEnds(identity).length })
+    log.record(DecisionKinds.SERVER_ENDED, { ...facts, send, sentMs, events: work.stream.events, ends: quarantine.listCrashes(identity).length })
   }
 
   /** Records that a server completed the request without crashing. */
-  noteServed (work: RoutedWork): void {
-    if (this.opts.quarantine.size > 0) this.opts.quarantine.noteGoodEnd(this.ensureIdentity(work))
+  recordServed (work: RoutedWork): void {
+    if (this.opts.quarantine.size > 0) this.opts.quarantine.recordSuccess(this.ensureIdentity(work))
   }
 
   /** Returns the error for a queued request with this identity if it has become a confirmed poison request; undefined otherwise. */
   findRejection (work: RoutedWork, identity: string): PulleystackError | undefined {
-    if (this.ensureIdentity(work) !== identity || this.readVerdict(work) !== Verdicts.REFUSED) return undefined
+    if (this.ensureIdentity(work) !== identity || this.readVerdict(work) !== Verdicts.REJECTED) return undefined
     return this.createRejection(work)
   }
 
@@ -84,7 +84,7 @@
 
   // Avoids hashing requests while there are no suspects.
   private readVerdict (work: RoutedWork): Verdict {
-    return this.opts.quarantine.size === 0 ? Verdicts.FREE : this.opts.quarantine.judge(this.ensureIdentity(work))
+    return this.opts.quarantine.size === 0 ? Verdicts.ALLOWED : this.opts.quarantine.judge(this.ensureIdentity(work))
   }
 
   private ensureIdentity (work: RoutedWork): string {
@@ -100,9 +100,9 @@
   private createRejection (work: RoutedWork): PulleystackError {
     const identity = this.ensureIdentity(work)
     const verdict = this.readVerdict(work)
-    const ends = this.opts.quarantine.listEnds(identity).length
+    const ends = this.opts.quarantine.listCrashes(identity).length
     this.opts.log.record(DecisionKinds.SUSPECT_REFUSED, { request: work.requestId, identity, ends, verdict })
-    const retryAfterSeconds = verdict === Verdicts.REFUSED ? REJECTED_RETRY_SECONDS : BUSY_RETRY_SECONDS
+    const retryAfterSeconds = verdict === Verdicts.REJECTED ? REJECTED_RETRY_SECONDS : BUSY_RETRY_SECONDS
     const message = `${ends} backend servers crashed while running this request`
     return new PulleystackError('REQUEST_ENDS_SERVERS', message, { ran: Ran.NO, retryAfterSeconds })
   }
--- a/gateway/routed/src/relayStream.ts
+++ b/gateway/routed/src/relayStream.ts
@@ -1,7 +1,7 @@
 import type { Clock } from '@pulleystack/core.clock'
-import { EventSplitter, type ExchangeAnswer } from '@pulleystack/routing.forward'
-import type { ClientAnswer } from './ClientAnswer.js'
-import type { StreamPace } from './StreamPace.js'
+import { EventSplitter, type ExchangeResponse } from '@pulleystack/routing.forward'
+import type { ClientResponse } from './ClientResponse.js'
+import type { StreamFlusher } from './StreamFlusher.js'
 
 /** Progress of a stream over all attempts. */
 export interface StreamProgress {
@@ -17,10 +17,10 @@
 
 export interface StreamRelayOptions {
   clock: Clock
-  answer: ExchangeAnswer
-  client: ClientAnswer
+  response: ExchangeResponse
+  client: ClientResponse
   progress: StreamProgress
-  pace: StreamPace
+  flusher: StreamFlusher
   /** Called when complete events have arrived. */
   onEvents: () => void
   /** Called with true when reading pauses for a slow client, and with false when it resumes. */
@@ -33,7 +33,7 @@
  * response when another attempt resumes the stream. Rejects when the stream is interrupted.
  */
 export async function relayStream (opts: StreamRelayOptions): Promise<void> {
-  const { answer, client, pace } = opts
+  const { response, client, flusher } = opts
   const splitter = new EventSplitter()
   let pending: Buffer[] = []
   let isFirst = true
@@ -42,15 +42,15 @@
     const bytes = pending.length === 1 ? pending[0] as Buffer : Buffer.concat(pending)
     pending = []
     if (client.write(bytes)) return
-    answer.pause()
+    response.pause()
     opts.onBackpressure(true)
     client.onDrain(() => {
-      answer.resume()
+      response.resume()
       opts.onBackpressure(false)
     })
   }
   try {
-    await answer.read((chunk) => {
+    await response.read((chunk) => {
       const now = opts.clock.readTime()
       for (const event of splitter.push(chunk)) {
         recordEvent(opts.progress, event.id, now)
@@ -59,20 +59,20 @@
       if (pending.length === 0) return
       opts.onEvents()
       if (!isFirst) {
-        pace.schedule(flush)
+        flusher.schedule(flush)
         return
       }
       isFirst = false
       opts.onFirstEvent()
-      if (!client.hasBegun) client.beginStream(answer)
+      if (!client.hasBegun) client.beginStream(response)
       flush()
     })
   } finally {
     // The client also gets the complete events of an interrupted stream.
     flush()
   }
-  if (!client.hasBegun) client.beginStream(answer)
-  const rest = splitter.takeRest()
+  if (!client.hasBegun) client.beginStream(response)
+  const rest = splitter.takeRemainder()
   if (rest.length > 0) client.write(rest)
   client.endStream()
 }
--- a/gateway/routed/src/runRequest.ts
+++ b/gateway/routed/src/runRequest.ts
@@ -2,7 +2,7 @@
 import type { RoutedProtocol } from '@pulleystack/backend.interfaces'
 import type { Clock, RandomSource } from '@pulleystack/core.clock'
 import { PulleystackError, Ran, convertToError } from '@pulleystack/core.errors'
-import type { BackendAgent, ExchangeAnswer } from '@pulleystack/routing.forward'
+import type { BackendAgent, ExchangeResponse } from '@pulleystack/routing.forward'
 import { openExchange } from '@pulleystack/routing.forward'
 import type { BackendFleet, ServerReports } from '@pulleystack/routing.fleet'
 import type { SuspectRun } from '@pulleystack/routing.quarantine'
@@ -11,10 +11,10 @@
 import { createAttemptSignal, type AttemptSignal } from './AttemptSignal.js'
 import type { BackendSlot } from './BackendSlot.js'
 import type { BackendQueue } from './BackendQueue.js'
-import type { ClientAnswer } from './ClientAnswer.js'
+import type { ClientResponse } from './ClientResponse.js'
 import { relayStream, type StreamProgress } from './relayStream.js'
 import type { RoutedWork } from './RoutedWork.js'
-import type { StreamPace } from './StreamPace.js'
+import type { StreamFlusher } from './StreamFlusher.js'
 import type { SuspectGate } from './SuspectGate.js'
 
 const CONNECT_TIMEOUT_MS = 300
@@ -34,7 +34,7 @@
   fleet: BackendFleet
   reports: ServerReports
   /** Schedules the writes of stream events. */
-  pace: StreamPace
+  flusher: StreamFlusher
   log: DecisionLog
   findBudget: (service: string) => WindowBudget
 }
@@ -46,7 +46,7 @@
   runs: number
   stream: StreamProgress
   /** Latest error response of a server, relayed if no other attempt succeeds. */
-  serverFailure: { answer: ExchangeAnswer, body: Buffer } | undefined
+  serverFailure: { response: ExchangeResponse, body: Buffer } | undefined
   /** Error of the last attempt. */
   error: PulleystackError | undefined
   /** Reserved from the retry budget for the next attempt; undefined when that is free. */
@@ -54,7 +54,7 @@
 }
 
 /** Runs one request until its response has been sent; rejects with the error for the client if no server's response can be relayed. */
-export async function runRequest (opts: RunOptions, work: RoutedWork, client: ClientAnswer): Promise<void> {
+export async function runRequest (opts: RunOptions, work: RoutedWork, client: ClientResponse): Promise<void> {
   const progress: RunProgress = { sends: 0, runs: 0, stream: work.stream, serverFailure: undefined, error: undefined, retryPermit: undefined }
   for (;;) {
     const admission = await admitAttempt(opts, work, progress)
@@ -66,7 +66,7 @@
     if (!progress.serverFailure || client.hasBegun) throw createFinalError(progress, error)
     break
   }
-  if (progress.serverFailure) client.sendBuffered(progress.serverFailure.answer, progress.serverFailure.body)
+  if (progress.serverFailure) client.sendBuffered(progress.serverFailure.response, progress.serverFailure.body)
 }
 
 interface AttemptAdmission {
@@ -83,7 +83,7 @@
     admission.slot.release()
     throw progress.error
   } catch (thrown) {
-    progress.retryPermit?.giveBack()
+    progress.retryPermit?.release()
     if (progress.serverFailure) return undefined
     const error = convertToError(thrown)
     throw createFinalError(progress, error)
@@ -123,7 +123,7 @@
   work: RoutedWork,
   progress: RunProgress,
   { slot, run }: AttemptAdmission,
-  client: ClientAnswer,
+  client: ClientResponse,
 ): Promise<PulleystackError | undefined> {
   const { clock, log, suspects } = opts
   const sentAt = clock.readTime()
@@ -143,17 +143,17 @@
   })
   try {
     const exchange = buildExchange(opts, work, progress, slot)
-    slot.noteSent()
-    const answer = await openExchange({ ...exchange, signal: attempt.signal })
+    slot.recordSent()
+    const response = await openExchange({ ...exchange, signal: attempt.signal })
     progress.runs++
     slot.backend.recordReached(clock.readTime())
-    slot.noteAnswered()
-    const serverError = await relayAnswer(opts, { work, progress, slot, client, answer, attempt })
-    suspects.noteServed(work)
+    slot.recordResponse()
+    const serverError = await relayResponse(opts, { work, progress, slot, client, response, attempt })
+    suspects.recordServed(work)
     if (serverError) return recordFailure(opts, work, slot, serverError, facts)
-    const hasFailed = answer.status >= MIN_SERVER_ERROR_STATUS
+    const hasFailed = response.status >= MIN_SERVER_ERROR_STATUS
     opts.fleet.recordOutcome(slot.backend, hasFailed, clock.readTime())
-    if (!hasFailed) slot.backend.outlier.noteSuccess()
+    if (!hasFailed) slot.backend.outlier.recordSuccess()
     return undefined
   } catch (thrown) {
     const error = attempt.signal.aborted && attempt.signal.reason instanceof PulleystackError ? withRan(attempt.signal.reason, thrown) : convertToError(thrown)
@@ -171,42 +171,42 @@
 }
 
 /** Relays a response; returns an error instead if the server failed and another attempt may succeed. */
-async function relayAnswer (opts: RunOptions, it: {
+async function relayResponse (opts: RunOptions, it: {
   work: RoutedWork
   progress: RunProgress
   slot: BackendSlot
-  client: ClientAnswer
-  answer: ExchangeAnswer
+  client: ClientResponse
+  response: ExchangeResponse
   attempt: AttemptSignal
 }): Promise<PulleystackError | undefined> {
-  const { work, progress, answer, client } = it
-  if (work.route.streams && answer.status === 200) {
+  const { work, progress, response, client } = it
+  if (work.route.streams && response.status === 200) {
     await relayStream({
       clock: opts.clock,
-      answer,
+      response,
       client,
       progress: progress.stream,
-      pace: opts.pace,
-      onEvents: it.attempt.noteActivity,
-      onBackpressure: it.attempt.notePaused,
-      onFirstEvent: () => it.slot.notePrefilled(),
+      flusher: opts.flusher,
+      onEvents: it.attempt.recordActivity,
+      onBackpressure: it.attempt.setPaused,
+      onFirstEvent: () => it.slot.recordPrefilled(),
     })
     return undefined
   }
-  const body = await answer.readWhole(MAX_BODY_BYTES)
-  it.attempt.noteActivity()
-  it.slot.notePrefilled()
-  if (client.hasBegun) return new PulleystackError('ATTEMPT_FAILED_UNKNOWN', `The server responded with status ${answer.status} instead of resuming the stream`)
-  if (answer.status < MIN_SERVER_ERROR_STATUS) {
-    client.sendBuffered(answer, body)
+  const body = await response.readBody(MAX_BODY_BYTES)
+  it.attempt.recordActivity()
+  it.slot.recordPrefilled()
+  if (client.hasBegun) return new PulleystackError('ATTEMPT_FAILED_UNKNOWN', `The server responded with status ${response.status} instead of resuming the stream`)
+  if (response.status < MIN_SERVER_ERROR_STATUS) {
+    client.sendBuffered(response, body)
     return undefined
   }
-  progress.serverFailure = { answer, body }
+  progress.serverFailure = { response, body }
   if (!mayRepeat(work)) {
-    client.sendBuffered(answer, body)
+    client.sendBuffered(response, body)
     return undefined
   }
-  return new PulleystackError('ATTEMPT_FAILED_UNKNOWN', `The server responded with status ${answer.status}`)
+  return new PulleystackError('ATTEMPT_FAILED_UNKNOWN', `The server responded with status ${response.status}`)
 }
 
 function buildExchange (opts: RunOptions, work: RoutedWork, progress: RunProgress, slot: BackendSlot): Omit<Parameters<typeof openExchange>[0], 'signal'> {
@@ -216,7 +216,7 @@
     waitMs: Math.max(1, Math.floor(work.deadline - sentAt)),
     priority: work.priority,
     team: work.team?.name,
-    hidesKey: work.hidesKey,
+    removesAccessKey: work.removesAccessKey,
     lastEventId: progress.stream.lastEventId,
     bodyBytes: work.body?.length,
   })
@@ -230,7 +230,7 @@
     headers,
     body: work.body,
     requestId: work.requestId,
-    connectMs: CONNECT_TIMEOUT_MS,
+    connectTimeoutMs: CONNECT_TIMEOUT_MS,
     onHead: (head) => opts.reports.applyResponse(slot.backend, head, { requestId: work.requestId, sentAt }),
   }
 }
@@ -250,7 +250,7 @@
   const isSilent = error.code === 'DEADLINE_UNKNOWN' && work.stream.events === 0
   const isUncounted = !isSilent && (error.code === 'CALLER_GONE' || error.code === 'BACKEND_REFUSED' || error.code === 'ATTEMPT_FAILED_NOT_RUN' || work.signal.aborted)
   if (!isUncounted) opts.fleet.recordOutcome(backend, true, opts.clock.readTime())
-  if (!isUncounted && backend.outlier.noteFailure(opts.clock.readTime(), opts.random.readFraction())) {
+  if (!isUncounted && backend.outlier.recordFailure(opts.clock.readTime(), opts.random.readFraction())) {
     opts.log.record(DecisionKinds.BACKEND_EJECTED, { backend: backend.id, address: backend.entry.address })
   }
   return error
--- a/gateway/routed/test/BackendQueue.test.ts
+++ b/gateway/routed/test/BackendQueue.test.ts
@@ -3,9 +3,9 @@
 import { DEFAULT_POLICY } from '@pulleystack/config.settings'
 import { ManualClock, RandomSource } from '@pulleystack/core.clock'
 import { PulleystackError, Ran } from '@pulleystack/core.errors'
-import type { NeedAnswer, ResidencyClient } from '@pulleystack/placement.residency'
+import type { WeightsAnswer, ResidencyClient } from '@pulleystack/placement.residency'
 import { BackendFleet, type Backend, type BackendEntry } from '@pulleystack/routing.fleet'
-import { SilentDecisionLog } from '@pulleystack/timeline.decisions'
+import { NullDecisionLog } from '@pulleystack/timeline.decisions'
 import { BackendSlot, BackendQueue } from '../src/index.js'
 import { createStreamProgress } from '../src/relayStream.js'
 import type { RoutedWork } from '../src/RoutedWork.js'
@@ -32,7 +32,7 @@
 describe('BackendQueue', () => {
   let queue: BackendQueue
   let clock: ManualClock
-  let weightsAnswer: NeedAnswer
+  let weightsAnswer: WeightsAnswer
   let fleet: BackendFleet
 
   beforeEach(() => {
@@ -42,9 +42,9 @@
     fleet.replaceAll([createEntry('a'), createEntry('b')])
     const residency = {
       requestWeights: () => Promise.resolve(weightsAnswer),
-      noteEnded: () => undefined,
+      recordEnded: () => undefined,
     } as unknown as ResidencyClient
-    queue = new BackendQueue({ clock, random: new RandomSource(1), fleet, residency, log: new SilentDecisionLog(), dataHall: 'z', policy: DEFAULT_POLICY })
+    queue = new BackendQueue({ clock, random: new RandomSource(1), fleet, residency, log: new NullDecisionLog(), dataHall: 'z', policy: DEFAULT_POLICY })
   })
 
   describe('looking for a slot elsewhere', () => {
@@ -146,10 +146,10 @@
       for (let at = 0; at < 8; at++) void queue.acquire(createWork('held')).then((slot) => slots.push(slot))
       await clock.advance(1_100)
       assert.equal(slots.length, 1)
-      slots[0]?.noteAnswered()
+      slots[0]?.recordResponse()
       await clock.advance(1)
       assert.equal(slots.length, 3)
-      slots.forEach((slot) => slot.noteAnswered())
+      slots.forEach((slot) => slot.recordResponse())
       await clock.advance(1)
       assert.equal(slots.length, 7)
     })
@@ -179,7 +179,7 @@
       await clock.advance(10)
       assert.equal(hasSlot, false)
       fleet.waiting.applyPeerCounts('other', [])
-      queue.pump()
+      queue.assignSlots()
       await clock.advance(10)
       assert.equal(hasSlot, true)
     })
--- a/gateway/routed/test/InstanceRelay.test.ts
+++ b/gateway/routed/test/InstanceRelay.test.ts
@@ -3,17 +3,17 @@
 import http from 'node:http'
 import type { AddressInfo } from 'node:net'
 import { afterEach, beforeEach, describe, it } from 'node:test'
-import type { AnswerFacts, RoutedProtocol } from '@pulleystack/backend.interfaces'
+import type { ResponseFacts, RoutedProtocol } from '@pulleystack/backend.interfaces'
 import { SystemClock } from '@pulleystack/core.clock'
 import { PulleystackError, Ran } from '@pulleystack/core.errors'
 import { listEndToEnd } from '@pulleystack/core.headers'
 import { BackendAgent } from '@pulleystack/routing.forward'
-import { SilentDecisionLog } from '@pulleystack/timeline.decisions'
+import { NullDecisionLog } from '@pulleystack/timeline.decisions'
 import { InstanceRelay, RelayHeaders, type RelayTarget } from '../src/index.js'
-import { ClientAnswer } from '../src/ClientAnswer.js'
+import { ClientResponse } from '../src/ClientResponse.js'
 
 const protocol = {
-  readAnswer: (_: number, headers: http.IncomingHttpHeaders): AnswerFacts => ({ requestId: headers['request-id'] as string | undefined, signed: false, notRun: false }),
+  readResponse: (_: number, headers: http.IncomingHttpHeaders): ResponseFacts => ({ requestId: headers['request-id'] as string | undefined, signed: false, notRun: false }),
   buildRelayHeaders: (rawHeaders: readonly string[], waitMs: number | undefined) => [
     ...listEndToEnd(rawHeaders, new Set(['content-length'])),
     'left-ms',
@@ -57,9 +57,9 @@
     servers = []
     targets = []
     const clock = new SystemClock()
-    relay = new InstanceRelay({ clock, agent: new BackendAgent(clock), protocol, log: new SilentDecisionLog(), listTargets: () => targets })
+    relay = new InstanceRelay({ clock, agent: new BackendAgent(clock), protocol, log: new NullDecisionLog(), listTargets: () => targets })
     front = http.createServer((request, response) => {
-      const client = new ClientAnswer({ response, ownHeaders: {}, mustClose: () => false })
+      const client = new ClientResponse({ response, ownHeaders: {}, mustClose: () => false })
       const clientGone = new AbortController()
       response.once('close', () => clientGone.abort(new PulleystackError('CALLER_GONE', 'gone')))
       const { method = '', url: path = '', rawHeaders } = request
@@ -118,7 +118,7 @@
 
   it('reports a request as not run if no instance is reachable, but not once it has been sent', async () => {
     targets.push({ instance: 'gone', address: '127.0.0.1:1' })
-    const client = {} as ClientAnswer
+    const client = {} as ClientResponse
     const work = { requestId: 'q1', method: 'POST', path: '/', rawHeaders: [], body: undefined, deadline: undefined, signal: new AbortController().signal }
     await assert.rejects(relay.run(work, client), (error: PulleystackError) => error.ran === Ran.NO)
     targets = []
--- a/gateway/routed/test/QueueSimulation.ts
+++ b/gateway/routed/test/QueueSimulation.ts
@@ -3,7 +3,7 @@
 import type { PulleystackError } from '@pulleystack/core.errors'
 import type { ResidencyClient } from '@pulleystack/placement.residency'
 import { BackendFleet } from '@pulleystack/routing.fleet'
-import { SilentDecisionLog } from '@pulleystack/timeline.decisions'
+import { NullDecisionLog } from '@pulleystack/timeline.decisions'
 import { BackendQueue } from '../src/index.js'
 import type { BackendSlot } from '../src/BackendSlot.js'
 import { createStreamProgress } from '../src/relayStream.js'
@@ -57,9 +57,9 @@
   const random = new RandomSource(seed)
   const fleet = new BackendFleet()
   fleet.replaceAll(Array.from({ length: load.servers }, (_, at) => createEntry(`s${at}`, load.slots)))
-  const residency = { requestWeights: () => Promise.resolve({ coming: false, reason: '' }), noteEnded: () => undefined } as unknown as ResidencyClient
+  const residency = { requestWeights: () => Promise.resolve({ coming: false, reason: '' }), recordEnded: () => undefined } as unknown as ResidencyClient
   // A separate random source, so that different policies get the same arrivals.
-  const queue = new BackendQueue({ clock, random: new RandomSource(seed + 1_000), fleet, residency, log: new SilentDecisionLog(), dataHall: 'z', policy })
+  const queue = new BackendQueue({ clock, random: new RandomSource(seed + 1_000), fleet, residency, log: new NullDecisionLog(), dataHall: 'z', policy })
   const outcome: Outcome = { asked: 0, inAim: 0, late: 0, refused: 0, waitedInVain: 0, vainSeconds: 0, longestVainMs: 0 }
   const runRequest = async (): Promise<void> => {
     const arrivedAt = clock.readTime()
@@ -95,7 +95,7 @@
 
 async function serve (slot: BackendSlot, load: Load, clock: ManualClock, speedFactor: number): Promise<void> {
   await clock.wait(load.firstMs * speedFactor)
-  slot.notePrefilled()
+  slot.recordPrefilled()
   await clock.wait((load.heldMs - load.firstMs) * speedFactor)
   slot.release()
 }
--- a/gateway/routed/test/QuotaGate.test.ts
+++ b/gateway/routed/test/QuotaGate.test.ts
@@ -3,7 +3,7 @@
 import { QuotaUnits, type Team } from '@pulleystack/config.routes'
 import { PulleystackError, Ran } from '@pulleystack/core.errors'
 import { TeamLimits, type RateVerdict } from '@pulleystack/routing.limits'
-import { SilentDecisionLog } from '@pulleystack/timeline.decisions'
+import { NullDecisionLog } from '@pulleystack/timeline.decisions'
 import { QuotaGate } from '../src/index.js'
 
 const QUOTA = { unit: QuotaUnits.TOKENS, ratePerSecond: 100, burst: 100, plainTokens: 20 }
@@ -21,7 +21,7 @@
     return Promise.resolve(this.verdict)
   }
 
-  override giveBack (_team: Team, units: number): void {
+  override release (_team: Team, units: number): void {
     this.givenBack.push(units)
   }
 
@@ -38,7 +38,7 @@
   beforeEach(() => {
     limits = new TestLimits()
     counted = []
-    gate = new QuotaGate({ log: new SilentDecisionLog(), limits, onUnits: (_, outcome, units) => counted.push([outcome, units]) })
+    gate = new QuotaGate({ log: new NullDecisionLog(), limits, onUnits: (_, outcome, units) => counted.push([outcome, units]) })
   })
 
   it('counts the tokens declared by a request, or the default of the quota', async () => {
--- a/gateway/routed/test/RoutedGateway.test.ts
+++ b/gateway/routed/test/RoutedGateway.test.ts
@@ -4,7 +4,7 @@
 import { beforeEach, describe, it } from 'node:test'
 import type { RouteTable } from '@pulleystack/config.routes'
 import { ManualClock } from '@pulleystack/core.clock'
-import { SilentDecisionLog } from '@pulleystack/timeline.decisions'
+import { NullDecisionLog } from '@pulleystack/timeline.decisions'
 import { NEVER } from 'rxjs'
 import { RoutedGateway, type RoutedGatewayOptions } from '../src/index.js'
 
@@ -51,14 +51,14 @@
     const table = { config: { version: 1 }, findRoute: () => ({ name: 'r', timeoutMs: TIMEOUT_MS }) } as unknown as RouteTable
     gateway = new RoutedGateway({
       clock,
-      log: new SilentDecisionLog(),
+      log: new NullDecisionLog(),
       protocol: { readRequest: () => ({ requestId: 'q' }), buildOwnHeaders: () => ({}) },
       suspects: { changes: NEVER },
       readTable: () => table,
       mustClose: () => false,
       onOutcome: () => undefined,
       // Makes the gateway reject every request at once.
-      mayBegin: (deadline: number) => {
+      mayStart: (deadline: number) => {
         deadlines.push(deadline)
         return false
       },
--- a/gateway/routed/test/runRequest.test.ts
+++ b/gateway/routed/test/runRequest.test.ts
@@ -7,10 +7,10 @@
 import { Backend } from '@pulleystack/routing.fleet'
 import { BackendAgent } from '@pulleystack/routing.forward'
 import { WindowBudget } from '@pulleystack/routing.retries'
-import { SilentDecisionLog } from '@pulleystack/timeline.decisions'
+import { NullDecisionLog } from '@pulleystack/timeline.decisions'
 import { runRequest, type RunOptions } from '../src/runRequest.js'
 import type { BackendSlot } from '../src/BackendSlot.js'
-import type { ClientAnswer } from '../src/ClientAnswer.js'
+import type { ClientResponse } from '../src/ClientResponse.js'
 import type { RoutedWork } from '../src/RoutedWork.js'
 
 const WINDOW_MS = 10_000
@@ -42,7 +42,7 @@
     stream: { events: 0 },
     signal: new AbortController().signal,
   } as unknown as RoutedWork
-  const client = { hasBegun: false, sendBuffered: () => undefined } as unknown as ClientAnswer
+  const client = { hasBegun: false, sendBuffered: () => undefined } as unknown as ClientResponse
   let clock: ManualClock
   let server: http.Server
   let agent: BackendAgent
@@ -57,7 +57,7 @@
     await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve))
     const address = `127.0.0.1:${(server.address() as AddressInfo).port}`
     const backend = new Backend({ id: 'b', service: 's', address, dataHall: 'z', slots: 1, draining: false, models: undefined, inMemory: [], onDisk: [] })
-    const slotMethods = { noteSent: () => undefined, noteAnswered: () => undefined, notePrefilled: () => undefined }
+    const slotMethods = { recordSent: () => undefined, recordResponse: () => undefined, recordPrefilled: () => undefined }
     const slot = { ...slotMethods, backend, choice: { cachedTokens: 0 }, release: () => undefined } as unknown as BackendSlot
     let acquired = 0
     let resolveSecondAcquire = (): void => undefined
@@ -71,20 +71,20 @@
         grantSecondSlot = () => resolve(slot)
       })
     }
-    budget = new WindowBudget({ clock, ratio: 0.2, extra: EXTRA_RETRIES, windowMs: WINDOW_MS, countInstances: () => 1 })
+    budget = new WindowBudget({ clock, ratio: 0.2, fixedAllowance: EXTRA_RETRIES, windowMs: WINDOW_MS, countInstances: () => 1 })
     agent = new BackendAgent(clock)
     opts = {
       clock,
       agent,
       protocol: {
         buildForwardHeaders: () => ['Host', 'h'],
-        readAnswer: (_: number, headers: http.IncomingHttpHeaders) => ({ requestId: 'q', signed: true, notRun: headers.unused !== undefined }),
+        readResponse: (_: number, headers: http.IncomingHttpHeaders) => ({ requestId: 'q', signed: true, notRun: headers.unused !== undefined }),
       },
-      suspects: { hasBecomeSuspect: () => false, admit: () => Promise.resolve({ isOnly: false, release: () => undefined }), noteServed: () => undefined },
+      suspects: { hasBecomeSuspect: () => false, admit: () => Promise.resolve({ isOnly: false, release: () => undefined }), recordServed: () => undefined },
       queue: { acquire, hasSlotElsewhere: () => true },
       fleet: { recordOutcome: () => undefined },
       reports: { applyResponse: () => undefined },
-      log: new SilentDecisionLog(),
+      log: new NullDecisionLog(),
       findBudget: () => budget,
     } as unknown as RunOptions
   })
--- a/membership/fake-network/src/FakeNetwork.ts
+++ b/membership/fake-network/src/FakeNetwork.ts
@@ -25,11 +25,11 @@
 /** Delivers the messages between the fake networks of a test. */
 export class FakeHub {
   /** Probabilities that a message is lost or duplicated, from 0 to 1. */
-  lossShare = 0
-  repeatShare = 0
+  lossProbability = 0
+  duplicateProbability = 0
   /** Maximum random delay per message, which also reorders messages. */
   maxDelayMs = 0
-  messages = 0
+  messageCount = 0
   private readonly nodes = new Map<string, FakeNetwork>()
   private readonly partitions = new Set<string>()
   private readonly uplinks = new Map<string, Uplink>()
@@ -59,7 +59,7 @@
     this.partitions.add(`${a}|${b}`).add(`${b}|${a}`)
   }
 
-  healAll (): void {
+  clearPartitions (): void {
     this.partitions.clear()
   }
 
@@ -73,7 +73,7 @@
   }
 
   /** Adds traffic to a node's uplink, not only to peers; returns the milliseconds until it has been transmitted. */
-  putOnUplink (instance: string, bytes: number): number {
+  sendOnUplink (instance: string, bytes: number): number {
     const uplink = this.uplinks.get(instance)
     if (!uplink) return 0
     const now = this.opts.clock.readTime()
@@ -115,11 +115,11 @@
 
   /** Sends a message, subject to the configured faults. */
   sendMessage (from: string, to: string, body: unknown, deliver: (node: FakeNetwork) => void): void {
-    this.messages++
+    this.messageCount++
     const { random, clock } = this.opts
-    const sentMs = this.uplinks.has(from) ? this.putOnUplink(from, measureSend(SAMPLE_CHANNEL, body)) : 0
-    if (random.readFraction() < this.lossShare) return
-    const copies = random.readFraction() < this.repeatShare ? 2 : 1
+    const sentMs = this.uplinks.has(from) ? this.sendOnUplink(from, measureSend(SAMPLE_CHANNEL, body)) : 0
+    if (random.readFraction() < this.lossProbability) return
+    const copies = random.readFraction() < this.duplicateProbability ? 2 : 1
     const delayMs = sentMs + (this.delays.get(`${from}|${to}`) ?? 0)
     for (let i = 0; i < copies; i++) {
       clock.setTimer(delayMs + random.readFraction() * this.maxDelayMs, () => this.handleArrival(from, to, deliver))
--- a/membership/keys/src/accessKeys.ts
+++ b/membership/keys/src/accessKeys.ts
@@ -9,7 +9,7 @@
 }
 
 /** Whether a key matches one of the stored hashes. Takes constant time and compares all of them. */
-export function matchKeyHash (key: string, hashes: readonly string[]): boolean {
+export function isMatchingKey (key: string, hashes: readonly string[]): boolean {
   const candidate = Buffer.from(hashAccessKey(key))
   let isMatch = false
   for (const hash of hashes) {
--- a/membership/keys/src/certificates.ts
+++ b/membership/keys/src/certificates.ts
@@ -80,7 +80,7 @@
 }
 
 /** Checks that a TLS server can load the pair; throws CERTIFICATE_INVALID otherwise. */
-export function loadPair ({ certificate, key }: KeyPair): void {
+export function checkKeyPair ({ certificate, key }: KeyPair): void {
   try {
     tls.createSecureContext({ cert: certificate, key })
   } catch (cause) {
--- a/membership/keys/src/index.ts
+++ b/membership/keys/src/index.ts
@@ -1,3 +1,3 @@
-export { createAuthority, createCertificate, createKeys, loadPair } from './certificates.js'
+export { createAuthority, createCertificate, createKeys, checkKeyPair } from './certificates.js'
 export type { CertificateOptions, KeyPair } from './certificates.js'
-export { createAccessKey, matchKeyHash } from './accessKeys.js'
+export { createAccessKey, isMatchingKey } from './accessKeys.js'
--- a/membership/keys/test/certificates.test.ts
+++ b/membership/keys/test/certificates.test.ts
@@ -2,7 +2,7 @@
 import { before, describe, it } from 'node:test'
 import tls from 'node:tls'
 import fc from 'fast-check'
-import { createAuthority, createCertificate, createKeys, loadPair, type KeyPair } from '../src/index.js'
+import { createAuthority, createCertificate, createKeys, checkKeyPair, type KeyPair } from '../src/index.js'
 
 /** Bytes at which the DER encoding of an integer changes. */
 const EDGE_BYTES = [0x00, 0x7f, 0x80, 0xff]
@@ -40,7 +40,7 @@
 
   it('are rejected when they cannot be loaded', () => {
     const [pair] = createBoth((size) => Buffer.alloc(size, 1)) as [KeyPair]
-    assert.throws(() => loadPair({ ...pair, certificate: pair.certificate.replace(/[A-Za-z0-9+/]{64}/, '') }), { code: 'CERTIFICATE_INVALID' })
-    assert.doesNotThrow(() => loadPair(pair))
+    assert.throws(() => checkKeyPair({ ...pair, certificate: pair.certificate.replace(/[A-Za-z0-9+/]{64}/, '') }), { code: 'CERTIFICATE_INVALID' })
+    assert.doesNotThrow(() => checkKeyPair(pair))
   })
 })
--- a/membership/mesh/src/InstanceDirectory.ts
+++ b/membership/mesh/src/InstanceDirectory.ts
@@ -55,13 +55,13 @@
   }
 
   /** Marks an instance as linked. */
-  noteLinked (instance: string): void {
+  recordLinked (instance: string): void {
     const entry = this.entries.get(instance)
     if (entry) entry.unreachableSince = undefined
   }
 
   /** Marks an instance as unreachable: a link to it is required but not open. */
-  noteUnreachable (instance: string): void {
+  recordUnreachable (instance: string): void {
     const entry = this.entries.get(instance)
     if (entry) entry.unreachableSince ??= this.clock.readTime()
   }
--- a/membership/mesh/src/InstanceMesh.ts
+++ b/membership/mesh/src/InstanceMesh.ts
@@ -30,7 +30,7 @@
 const INSTANCES = defineChannel<Record<string, never>, KnownInstance[]>('mesh.instances')
 
 /** Serving instances send the list of serving instances to standby ones. */
-const SERVING = defineChannel<PeerIdentity[]>('mesh.serving', { isOnce: true })
+const SERVING = defineChannel<PeerIdentity[]>('mesh.serving', { isOneShot: true })
 
 /** The record of an instance in the store. */
 type InstanceRecord = Omit<KnownInstance, 'instance'>
@@ -69,7 +69,7 @@
   /** Lists received from serving instances while this one is on standby. */
   private readonly reported: ReportedServing
   /** How long this process has run and served. */
-  readonly life: ProcessRun
+  readonly processRun: ProcessRun
   private readonly changed = new Subject<void>()
   private readonly startedAt: number
   private hasFoundInstances = false
@@ -85,7 +85,7 @@
     this.directory = new InstanceDirectory(opts.clock, { instance, peerAddress, dataHall, capacity })
     this.startedAt = opts.clock.readTime()
     this.reported = new ReportedServing(opts.clock)
-    this.life = new ProcessRun(opts.clock, opts.isFirstStart ?? false)
+    this.processRun = new ProcessRun(opts.clock, opts.isFirstStart ?? false)
   }
 
   /** Emits when an instance joins, leaves or changes. */
@@ -103,7 +103,7 @@
   }
 
   /** Lists the other instances that are linked. */
-  listLive (): PeerIdentity[] {
+  listLinked (): PeerIdentity[] {
     return [...this.linked].flatMap((instance) => this.identities.get(instance) ?? [])
   }
 
@@ -114,7 +114,7 @@
 
   /** Lists the other serving instances; while this one is on standby, also those reported by peers. */
   listServing (): PeerIdentity[] {
-    const linked = this.listLive()
+    const linked = this.listLinked()
     const serving = linked.filter(isServing)
     if (!this.self.standby) return serving
     const included = new Set([this.self.instance, ...serving.map((identity) => identity.instance)])
@@ -123,28 +123,28 @@
   }
 
   /** Whether an instance has sent its list of serving instances. */
-  hasList (reporter: string): boolean {
+  hasServingListFrom (reporter: string): boolean {
     return this.reported.hasList(reporter)
   }
 
   /** Counts the serving instances by the source of their entries. */
-  describeServing (): ServingSources {
-    const linked = this.listLive().filter(isServing).length
+  countServingSources (): ServingSources {
+    const linked = this.listLinked().filter(isServing).length
     return { linked, told: this.listServing().length - linked, oldestListMs: this.reported.oldestMs }
   }
 
   /** Number of registered instances including this one, serving or not; undefined until the first were found. */
-  countKnown (): number | undefined {
+  countRegistered (): number | undefined {
     return this.hasFoundInstances ? this.directory.size : undefined
   }
 
   /** Upper estimate of the serving instances including this one: those seen to serve in this run, but at least the required number. */
-  countServed (): number {
+  countServingSeen (): number {
     return Math.max(this.seenServing.size + 1, computeServingCount(this.directory.size))
   }
 
   /** Whether this instance should serve; undefined until enough instances are known to decide. */
-  isChosen (): boolean | undefined {
+  isChosenToServe (): boolean | undefined {
     if (!this.hasFoundInstances || this.opts.clock.readTime() - this.startedAt < this.opts.settleMs) return undefined
     return this.directory.isChosenToServe(this.listServingNames())
   }
@@ -158,8 +158,8 @@
       else this.notePeerLost(event.instance, event.kind === 'silent')
     })
     const servingLists = network.receive(SERVING).subscribe(({ from, body }) => this.acceptServing(from, body))
-    const epochChanges = this.opts.store.epochs.changes.subscribe(({ former }) => {
-      if (former !== undefined) void this.restoreOwnRecord(signal)
+    const epochChanges = this.opts.store.epochs.changes.subscribe(({ previous }) => {
+      if (previous !== undefined) void this.restoreOwnRecord(signal)
     })
     signal.addEventListener('abort', () => {
       events.unsubscribe()
@@ -177,7 +177,7 @@
     Object.assign(this.opts.self, changes)
     this.opts.network.announceIdentity()
     if (changes.standby !== undefined) this.chooseNeighbours()
-    this.noteSharing()
+    this.updateServing()
     this.announceChange()
   }
 
@@ -186,7 +186,7 @@
     const previous = this.identities.get(instance)
     this.identities.set(instance, identity)
     if (!identity.standby) this.seenServing.add(instance)
-    this.directory.noteLinked(instance)
+    this.directory.recordLinked(instance)
     const isNew = !this.linked.has(instance)
     this.linked.add(instance)
     if (isNew && peerAddress !== '') this.directory.put({ instance, peerAddress, dataHall, capacity })
@@ -201,7 +201,7 @@
     this.changed.next()
     this.cancelServingTimer ??= this.opts.clock.setTimer(SERVING_BATCH_MS, () => {
       this.cancelServingTimer = undefined
-      this.sendServing(this.listLive().filter((identity) => identity.standby).map((identity) => identity.instance))
+      this.sendServing(this.listLinked().filter((identity) => identity.standby).map((identity) => identity.instance))
     })
   }
 
@@ -218,7 +218,7 @@
   }
 
   private notePeerLost (instance: string, isUnreachable: boolean): void {
-    if (isUnreachable) this.directory.noteUnreachable(instance)
+    if (isUnreachable) this.directory.recordUnreachable(instance)
     this.reported.forget(instance)
     if (!this.linked.delete(instance)) return
     this.opts.log.record(DecisionKinds.PEER_LOST, { peer: instance })
@@ -236,7 +236,7 @@
     const serving = this.listServingNames()
     const neighbours = this.self.standby ? this.directory.listStandbyNeighbours(serving) : this.directory.listServingNeighbours(serving)
     for (const { instance } of neighbours) {
-      if (!this.linked.has(instance)) this.directory.noteUnreachable(instance)
+      if (!this.linked.has(instance)) this.directory.recordUnreachable(instance)
     }
     this.opts.network.setNeighbours(neighbours)
   }
@@ -266,12 +266,12 @@
   private addInstances (instances: readonly KnownInstance[]): void {
     for (const instance of instances) this.directory.put(instance)
     this.hasFoundInstances = true
-    this.noteSharing()
+    this.updateServing()
     this.chooseNeighbours()
   }
 
-  private noteSharing (): void {
-    if (this.hasFoundInstances && !this.self.standby) this.life.noteSharing()
+  private updateServing (): void {
+    if (this.hasFoundInstances && !this.self.standby) this.processRun.recordServing()
   }
 
   private async keepLoadingInstances (signal: AbortSignal): Promise<void> {
@@ -294,7 +294,7 @@
     const listing = await store.listObjects(INSTANCES_PREFIX)
     if (listing.isErr()) return false
     const listed = new Map(listing.value.objects.map((object) => [object.key.slice(INSTANCES_PREFIX.length), object]))
-    this.life.noteListing(new Set(listed.keys()), self.instance)
+    this.processRun.recordListing(new Set(listed.keys()), self.instance)
     if (!this.mayLackInstances) {
       const unlisted = this.directory.list().filter(({ instance }) => !listed.has(instance) && !this.linked.has(instance))
       for (const { instance } of unlisted) this.directory.remove(instance)
@@ -305,7 +305,7 @@
     if (this.directory.isFirstReachable()) await this.deleteUnreachable(listed)
     // Two instances that write at the same time may miss each other; a listing after the write is needed.
     if (!isWritten) await this.writeOwnRecord(own?.version ?? 0)
-    if (isWritten) this.life.noteOwnRecordListed()
+    if (isWritten) this.processRun.recordOwnListing()
     return isWritten
   }
 
--- a/membership/mesh/src/ProcessRun.ts
+++ b/membership/mesh/src/ProcessRun.ts
@@ -21,27 +21,27 @@
   }
 
   /** Records a listing of the store. The first one must precede the write of the own record, unless the system starts for the first time. */
-  noteListing (listed: ReadonlySet<string>, self: string): void {
+  recordListing (listed: ReadonlySet<string>, self: string): void {
     this.foundNoInstances ??= listed.size === 0
     this.isNewName ??= !listed.has(self)
   }
 
-  noteOwnRecordListed (): void {
+  recordOwnListing (): void {
     this.isOwnRecordListed = true
   }
 
   /** Marks this instance as serving and visible to the instances that share limits with it. */
-  noteSharing (): void {
+  recordServing (): void {
     this.sharingSince ??= this.clock.readTime()
   }
 
   /** Milliseconds since the process started; Infinity when there was no earlier run. */
-  readLifeMs (): number {
+  readRunMs (): number {
     return this.isFirstStart || this.isNewName ? Infinity : this.clock.readTime() - this.startedAt
   }
 
   /** Milliseconds of serving beside other instances; Infinity when the system started with this one; 0 while unknown. */
-  readSharingMs (): number {
+  readServingMs (): number {
     if (this.foundNoInstances) return Infinity
     if (this.isFirstStart) return this.isOwnRecordListed ? Infinity : 0
     return this.sharingSince === undefined ? 0 : this.clock.readTime() - this.sharingSince
--- a/membership/mesh/test/InstanceDirectory.test.ts
+++ b/membership/mesh/test/InstanceDirectory.test.ts
@@ -118,7 +118,7 @@
     const directory = createDirectories(clock, instances)[instances.indexOf(last)] as InstanceDirectory
     const before = directory.listStandbyNeighbours(new Set())
     assert.equal(before.length, 4)
-    for (const it of before.slice(0, 2)) directory.noteUnreachable(it.instance)
+    for (const it of before.slice(0, 2)) directory.recordUnreachable(it.instance)
     await clock.advance(1_600)
     assert.equal(directory.listStandbyNeighbours(new Set()).length, 6)
   })
--- a/membership/mesh/test/InstanceMesh.test.ts
+++ b/membership/mesh/test/InstanceMesh.test.ts
@@ -4,7 +4,7 @@
 import { ManualClock } from '@pulleystack/core.clock'
 import { MemoryObjectStore } from '@pulleystack/emulator.stand-ins'
 import type { PeerEvent, PeerIdentity, WebSocketNetwork } from '@pulleystack/membership.peers'
-import { SilentDecisionLog } from '@pulleystack/timeline.decisions'
+import { NullDecisionLog } from '@pulleystack/timeline.decisions'
 import { EMPTY, Subject } from 'rxjs'
 import { InstanceMesh } from '../src/index.js'
 
@@ -37,7 +37,7 @@
       send: (to: string, _: unknown, serving: PeerIdentity[]) => lists.push({ to, names: serving.map((it) => it.instance) }),
     } as unknown as WebSocketNetwork
     const store = { epochs: new StoreEpochs(), listObjects: () => new Promise(() => undefined) } as unknown as ObjectStore
-    mesh = new InstanceMesh({ clock, store, network, log: new SilentDecisionLog(), self: createIdentity('own', false), seeds: [], settleMs: 0 })
+    mesh = new InstanceMesh({ clock, store, network, log: new NullDecisionLog(), self: createIdentity('own', false), seeds: [], settleMs: 0 })
     mesh.start(new AbortController().signal)
     for (let index = 0; index < STANDBY_COUNT; index++) events.next({ kind: 'heard', identity: createIdentity(`standby${index}`, true) })
     lists = []
@@ -87,7 +87,7 @@
       send: () => true,
     } as unknown as WebSocketNetwork
     const store = { epochs: new StoreEpochs(), listObjects: () => new Promise(() => undefined) } as unknown as ObjectStore
-    mesh = new InstanceMesh({ clock: new ManualClock(), store, network, log: new SilentDecisionLog(), self: createIdentity('own', true), seeds: [], settleMs: 0 })
+    mesh = new InstanceMesh({ clock: new ManualClock(), store, network, log: new NullDecisionLog(), self: createIdentity('own', true), seeds: [], settleMs: 0 })
     mesh.start(new AbortController().signal)
     events.next({ kind: 'heard', identity: createIdentity('reporter', false) })
   })
@@ -145,7 +145,7 @@
   beforeEach(async () => {
     clock = new ManualClock()
     store = new MemoryObjectStore({ clock })
-    store.epochs.note(1)
+    store.epochs.record(1)
     await store.writeObject(OTHER_KEY, { peerAddress: 'other:2', dataHall: '', capacity: 1 }, 0)
     const network = {
       peerEvents: EMPTY,
@@ -154,7 +154,7 @@
       setNeighbours: () => undefined,
       send: () => true,
     } as unknown as WebSocketNetwork
-    mesh = new InstanceMesh({ clock, store, network, log: new SilentDecisionLog(), self: createIdentity('own', false), seeds: [], settleMs: 0 })
+    mesh = new InstanceMesh({ clock, store, network, log: new NullDecisionLog(), self: createIdentity('own', false), seeds: [], settleMs: 0 })
     mesh.start(new AbortController().signal)
     await clock.advance(RECOVERY_MS)
   })
@@ -162,14 +162,14 @@
   // Otherwise instances that start later could not find this one until its next listing.
   it('rewrites its own lost record', async () => {
     await deleteRecord(OWN_KEY)
-    store.epochs.note(2)
+    store.epochs.record(2)
     await clock.advance(RECOVERY_MS)
     assert.notEqual(await readVersion(OWN_KEY), 0)
   })
 
   it('rewrites its record once the store is available again', async () => {
     await deleteRecord(OWN_KEY)
-    store.epochs.note(2)
+    store.epochs.record(2)
     store.faults.down = true
     await clock.advance(RECOVERY_MS)
     store.faults.down = false
@@ -180,7 +180,7 @@
   it('does not read the store when its record is too old to be lost', async () => {
     await clock.advance(120_000)
     const { reads } = store.counts
-    store.epochs.note(2)
+    store.epochs.record(2)
     await clock.advance(RECOVERY_MS)
     assert.equal(store.counts.reads, reads)
   })
@@ -188,7 +188,7 @@
   // Another instance may not have rewritten its record yet.
   it('keeps another instance whose record is still missing', async () => {
     await deleteRecord(OTHER_KEY)
-    store.epochs.note(2)
+    store.epochs.record(2)
     await clock.advance(20_000)
     assert.deepEqual(mesh.listOthers(), ['other'])
   })
--- a/membership/peers/src/PeerLink.ts
+++ b/membership/peers/src/PeerLink.ts
@@ -11,7 +11,7 @@
 /** Backlog limit for messages that later ones supersede: 0.2 s on a 10 Mbit/s link. */
 const MAX_BUFFERED_BYTES = 256 << 10
 /** Backlog limit for messages that no later one supersedes; bounds the memory. */
-const MAX_BUFFERED_ONCE_BYTES = 16 << 20
+const MAX_BUFFERED_ONE_SHOT_BYTES = 16 << 20
 const HANDSHAKE_TIMEOUT_MS = 5_000
 
 export interface PeerLinkOptions {
@@ -85,14 +85,14 @@
   }
 
   send<Body> (channel: Channel<Body>, body: Body): boolean {
-    return this.sendEncoded(encodeFrame({ t: 'send', channel: channel.name, body }), channel.isOnce)
+    return this.sendEncoded(encodeFrame({ t: 'send', channel: channel.name, body }), channel.isOneShot)
   }
 
   /** Sends an encoded frame; returns false when the link is closed or its backlog too large. */
-  sendEncoded (bytes: Buffer, isOnce = false): boolean {
+  sendEncoded (bytes: Buffer, isOneShot = false): boolean {
     if (!this.isOpen) return false
     // A slow peer or link must not accumulate messages without limit.
-    if (this.backlogBytes > (isOnce ? MAX_BUFFERED_ONCE_BYTES : MAX_BUFFERED_BYTES)) {
+    if (this.backlogBytes > (isOneShot ? MAX_BUFFERED_ONE_SHOT_BYTES : MAX_BUFFERED_BYTES)) {
       this.opts.onUnsent(this)
       return false
     }
--- a/membership/peers/src/PeerNetwork.ts
+++ b/membership/peers/src/PeerNetwork.ts
@@ -58,7 +58,7 @@
   abstract convertTime (instance: string, peerTime: number): number | undefined
 
   /** Returns how many peers a broadcast reaches. */
-  countReached (): number {
+  countBroadcastPeers (): number {
     return this.listLinked().length
   }
 
--- a/membership/peers/src/UnsentFrames.ts
+++ b/membership/peers/src/UnsentFrames.ts
@@ -20,7 +20,7 @@
   constructor (private readonly clock: Clock, private readonly onReport: (report: UnsentReport) => void) {}
 
   /** Counts one frame; it is reported within `REPORT_INTERVAL_MS`. */
-  note (peer: string, backlogBytes: number): void {
+  record (peer: string, backlogBytes: number): void {
     this.total++
     const { report } = this.pending.get(peer) ?? this.startReport(peer)
     report.frames++
--- a/membership/peers/src/WebSocketNetwork.ts
+++ b/membership/peers/src/WebSocketNetwork.ts
@@ -122,7 +122,7 @@
     return this.links.get(instance)?.convertTime(peerTime)
   }
 
-  override countReached (): number {
+  override countBroadcastPeers (): number {
     return [...this.links.values()].filter((link) => link.isOpen && !link.identity?.standby).length
   }
 
@@ -142,7 +142,7 @@
     let isSent = true
     for (const [instance, link] of this.links) {
       if (instance === except || !link.isOpen || link.identity?.standby) continue
-      isSent = link.sendEncoded(bytes, channel.isOnce) && isSent
+      isSent = link.sendEncoded(bytes, channel.isOneShot) && isSent
     }
     return isSent
   }
@@ -274,7 +274,7 @@
       },
       onIdentity: (identified) => this.reportHeard(identified),
       onClose: (closed) => this.removeLink(closed),
-      onUnsent: (congested) => this.unsent.note(congested.identity?.instance ?? '', congested.backlogBytes),
+      onUnsent: (congested) => this.unsent.record(congested.identity?.instance ?? '', congested.backlogBytes),
       onSend: (from, channel, body) => this.received.next({ from, channel, body }),
       onCall: (from, channel, body) => this.answerCall(from, channel, body),
     })
--- a/membership/peers/test/PeerLink.test.ts
+++ b/membership/peers/test/PeerLink.test.ts
@@ -12,7 +12,7 @@
 /** Takes a fraction of a second on a 10 Mbit/s link. */
 const LARGE_BACKLOG_BYTES = 300_000
 const SUPERSEDED = defineChannel<number>('test.repeated')
-const ONCE = defineChannel<number>('test.once', { isOnce: true })
+const ONCE = defineChannel<number>('test.once', { isOneShot: true })
 const IDENTITY: PeerIdentity = { instance: 'a', incarnation: 1, address: '', peerAddress: '', region: '', dataHall: '', leaving: false }
 
 /** A connection controlled by the test. */
@@ -134,8 +134,8 @@
 
   describe('within one second', () => {
     beforeEach(() => {
-      for (let index = 1; index <= 5; index++) frames.note('b', index)
-      frames.note('c', 9)
+      for (let index = 1; index <= 5; index++) frames.record('b', index)
+      frames.record('c', 9)
     })
 
     it('counts frames immediately', () => {
@@ -157,7 +157,7 @@
 
   it('reports at most once per second', async () => {
     for (let index = 0; index < 30; index++) {
-      frames.note('b', 1)
+      frames.record('b', 1)
       await clock.advance(100)
     }
     await clock.advance(1_000)
--- a/membership/view/src/MembershipView.ts
+++ b/membership/view/src/MembershipView.ts
@@ -101,7 +101,7 @@
   }
 
   /** Records a sign of life over a link, which overrides any suspicion. */
-  noteHeard (identity: PeerIdentity): void {
+  recordHeard (identity: PeerIdentity): void {
     const existing = this.members.get(identity.instance)
     if (existing && identity.incarnation < existing.incarnation) return
     if (identity.instance === this.opts.self.instance) return
@@ -110,7 +110,7 @@
   }
 
   /** Marks a peer that does not answer as suspected. */
-  noteSilent (instance: string): void {
+  recordSilent (instance: string): void {
     const member = this.members.get(instance)
     if (member && instance !== this.opts.self.instance) this.setMember({ ...member, state: MemberStates.SUSPECT })
   }
--- a/membership/view/src/startMembership.ts
+++ b/membership/view/src/startMembership.ts
@@ -46,9 +46,9 @@
   const { view, network } = opts
   const subscriptions = [
     network.peerEvents.subscribe((event) => {
-      if (event.kind === 'heard') view.noteHeard(event.identity)
+      if (event.kind === 'heard') view.recordHeard(event.identity)
       // A closed link is not reopened; its peer is monitored by others.
-      else if (event.kind === 'silent') view.noteSilent(event.instance)
+      else if (event.kind === 'silent') view.recordSilent(event.instance)
     }),
     network.receive(RUMOURS).subscribe(({ from, body }) => {
       if (view.applyRumour(body)) network.broadcast(RUMOURS, body, from)
--- a/membership/view/test/MembershipView.test.ts
+++ b/membership/view/test/MembershipView.test.ts
@@ -17,14 +17,14 @@
 describe('MembershipView', () => {
   it('excludes a suspected instance from the eligible ones', () => {
     const { view } = createFixture()
-    view.noteSilent('b')
+    view.recordSilent('b')
     assert.deepEqual(view.listEligible().map((member) => member.instance), ['a', 'c'])
   })
 
   it('clears a false suspicion when the instance is heard from', () => {
     const { view } = createFixture()
-    view.noteSilent('b')
-    view.noteHeard(createIdentity('b'))
+    view.recordSilent('b')
+    view.recordHeard(createIdentity('b'))
     assert.equal(view.findMember('b')?.state, 'live')
   })
 
@@ -47,13 +47,13 @@
 
   it('excludes a leaving instance before the list shows that it leaves', () => {
     const { view } = createFixture()
-    view.noteHeard(createIdentity('b', { incarnation: 2, leaving: true }))
+    view.recordHeard(createIdentity('b', { incarnation: 2, leaving: true }))
     assert.equal(view.listEligible().some((member) => member.instance === 'b'), false)
   })
 
   it('keeps an instance that is not listed yet until it has not been heard from for some time', async () => {
     const { view, clock } = createFixture()
-    view.noteHeard(createIdentity('new'))
+    view.recordHeard(createIdentity('new'))
     view.applyList([])
     assert.ok(view.findMember('new'))
     await clock.advance(20_000)
--- a/placement/demand/src/DemandEstimator.ts
+++ b/placement/demand/src/DemandEstimator.ts
@@ -16,7 +16,7 @@
   private readonly estimates = new Map<string, Estimate>()
 
   /** Records the latest rates of one instance, in tokens per second. */
-  takeReading (instance: string, rates: Record<string, number>, now: number): void {
+  recordRates (instance: string, rates: Record<string, number>, now: number): void {
     this.readings.set(instance, { receivedAt: now, rates })
   }
 
@@ -27,7 +27,7 @@
   }
 
   /** Estimated demand for the item, in tokens per second. */
-  read (item: string): number {
+  readRate (item: string): number {
     return this.estimates.get(item)?.rate ?? 0
   }
 
--- a/placement/ledger/src/ShardLease.ts
+++ b/placement/ledger/src/ShardLease.ts
@@ -14,7 +14,7 @@
   leaseMs: number
   /** Maximum time from sending an order until it reaches its engine. */
   orderDelayMs: number
-  createOperation: () => string
+  createOperationId: () => string
   /** Whether the whole system starts for the first time, so that no instance can hold the lease without a stored record. */
   isFirstStart?: boolean
 }
@@ -36,7 +36,7 @@
  */
 export class ShardLease {
   /** How this instance acquired the lease. */
-  takenFrom: LeaseOrigin = LeaseOrigins.EXPIRED
+  origin: LeaseOrigin = LeaseOrigins.EXPIRED
   private record: ShardRecord | undefined
   private version = 0
   private validUntil = -Infinity
@@ -48,8 +48,8 @@
   private lostHolderUntil = -Infinity
 
   constructor (private readonly opts: ShardLeaseOptions) {
-    opts.store.epochs.changes.subscribe(({ former }) => {
-      if (former !== undefined || !opts.isFirstStart) this.setLostHolderDeadline()
+    opts.store.epochs.changes.subscribe(({ previous }) => {
+      if (previous !== undefined || !opts.isFirstStart) this.setLostHolderDeadline()
     })
   }
 
@@ -59,12 +59,12 @@
   }
 
   /** Whether the lease was acquired and is not known to be lost, though it may have expired. */
-  get isKept (): boolean {
+  get hasRecord (): boolean {
     return this.record !== undefined
   }
 
   /** Whether an order sent now arrives after those of former holders and before another instance can acquire the lease. */
-  get mayOrder (): boolean {
+  get maySendOrders (): boolean {
     const now = this.opts.clock.readTime()
     return this.isHeld && now >= this.ordersAllowedFrom && now + this.opts.orderDelayMs < this.validUntil
   }
@@ -79,7 +79,7 @@
   }
 
   /** Records that the holder announced this version of its record; if it is still current when read, the lease counts from now at the latest. */
-  noteWritten (version: number): void {
+  recordHolderWrite (version: number): void {
     if (this.observed === undefined || version > this.observed.version) this.observed = { version, since: this.opts.clock.readTime() }
   }
 
@@ -97,7 +97,7 @@
    * Tries to acquire the lease; false while another holder's lease may be valid or the object store does not answer. The
    * lease of `handedOver` is acquired at once: the caller knows that holder's orders and that it sends no more.
    */
-  async tryTake (handedOver?: { holder: string, fence: number }): Promise<boolean> {
+  async tryAcquire (handedOver?: { holder: string, fence: number }): Promise<boolean> {
     const read = await this.opts.store.readObject(this.key)
     if (read.isErr()) return false
     const stored = read.value?.value as ShardRecord | undefined
@@ -116,7 +116,7 @@
       return false
     }
     this.ordersAllowedFrom = this.opts.clock.readTime() + (isHandedOver ? 0 : this.opts.orderDelayMs)
-    this.takenFrom = isHandedOver ? LeaseOrigins.HANDED_OVER : stored?.released ? LeaseOrigins.RELEASED : LeaseOrigins.EXPIRED
+    this.origin = isHandedOver ? LeaseOrigins.HANDED_OVER : stored?.released ? LeaseOrigins.RELEASED : LeaseOrigins.EXPIRED
     return true
   }
 
@@ -124,11 +124,11 @@
    * Renews the lease by writing the record unchanged; also after it expired, if no other instance has acquired it. In a
    * new epoch of the store, an expired lease is renewed only if `isHoldingOn` confirms that no other instance can hold it.
    */
-  async renew (isHoldingOn: () => boolean = () => false): Promise<Result<void, PulleystackError>> {
+  async renew (isConfirmedHolder: () => boolean = () => false): Promise<Result<void, PulleystackError>> {
     if (!this.record) return err(createLostError(this.opts.shard))
     const renewed = await this.write(structuredClone(this.record))
     if (renewed.isOk() || !this.record || !this.isFromFormerEpoch) return renewed
-    if (this.isHeld || isHoldingOn()) return this.writeToNewEpoch()
+    if (this.isHeld || isConfirmedHolder()) return this.writeToNewEpoch()
     this.drop()
     return renewed
   }
@@ -217,7 +217,7 @@
   private async write (next: ShardRecord): Promise<Result<void, PulleystackError>> {
     const sentAt = this.opts.clock.readTime()
     const { dropCount } = this
-    next.operation = this.opts.createOperation()
+    next.operation = this.opts.createOperationId()
     const written = await this.opts.store.writeObject(this.key, next, this.version)
     const outcome = written.isErr() && written.error.code === 'STORE_OUTCOME_UNKNOWN' ? await this.checkWritten(next.operation) : written
     if (outcome.isErr()) {
--- a/placement/ledger/test/ledger.test.ts
+++ b/placement/ledger/test/ledger.test.ts
@@ -30,7 +30,7 @@
     holder,
     leaseMs: LEASE_MS,
     orderDelayMs: ORDER_DELAY_MS,
-    createOperation: () => `${holder}-${ids++}`,
+    createOperationId: () => `${holder}-${ids++}`,
   })
   return { clock, store, one: create('one'), two: create('two') }
 }
@@ -54,55 +54,55 @@
 describe('ShardLease', () => {
   it('is acquired by one holder only', async () => {
     const { one, two } = createLeases()
-    assert.deepEqual(await Promise.all([one.tryTake(), two.tryTake()]), [true, false])
+    assert.deepEqual(await Promise.all([one.tryAcquire(), two.tryAcquire()]), [true, false])
   })
 
   it('is not restored by a renewal that was in flight when it was abandoned', async () => {
     const { one, two } = createLeases()
-    await one.tryTake()
+    await one.tryAcquire()
     const renewing = one.renew()
     one.abandon()
     assert.ok((await renewing).isErr())
     assert.equal(one.isHeld, false)
-    assert.equal(await two.tryTake({ holder: 'one', fence: 1 }), true)
-    assert.equal(one.mayOrder, false)
+    assert.equal(await two.tryAcquire({ holder: 'one', fence: 1 }), true)
+    assert.equal(one.maySendOrders, false)
   })
 
   it('is acquired by a successor only after the lease and the maximum order delay', async () => {
     const { clock, one, two } = createLeases()
-    await one.tryTake()
-    await two.tryTake()
+    await one.tryAcquire()
+    await two.tryAcquire()
     await clock.advance(LEASE_MS)
-    assert.equal(await two.tryTake(), false)
+    assert.equal(await two.tryAcquire(), false)
     await clock.advance(ORDER_DELAY_MS + LEASE_MS * 0.05 + 1)
-    assert.equal(await two.tryTake(), true)
+    assert.equal(await two.tryAcquire(), true)
     assert.ok(two.fence > one.fence)
   })
 
   it('allows no order that could arrive after its expiry', async () => {
     const { clock, one } = createLeases()
-    await one.tryTake()
-    assert.equal(one.mayOrder, false, 'orders of a former holder may still arrive')
+    await one.tryAcquire()
+    assert.equal(one.maySendOrders, false, 'orders of a former holder may still arrive')
     await clock.advance(ORDER_DELAY_MS)
-    assert.equal(one.mayOrder, true)
+    assert.equal(one.maySendOrders, true)
     await clock.advance(LEASE_MS - 2 * ORDER_DELAY_MS)
     assert.equal(one.isHeld, true)
-    assert.equal(one.mayOrder, false)
+    assert.equal(one.maySendOrders, false)
   })
 
   it('rejects writes of a former holder after a pause', async () => {
     const { clock, one, two } = createLeases()
-    await one.tryTake()
-    await two.tryTake()
+    await one.tryAcquire()
+    await two.tryAcquire()
     await clock.advance(LEASE_MS * 2)
-    await two.tryTake()
+    await two.tryAcquire()
     assert.equal((await one.renew()).isErr(), true)
     assert.equal(two.isHeld, true)
   })
 
   it('accepts its own write when the response was lost', async () => {
     const { store, one } = createLeases()
-    await one.tryTake()
+    await one.tryAcquire()
     store.faults.loseAnswers = 1
     assert.equal((await one.update((record) => {
       record.sequence = 7
@@ -112,7 +112,7 @@
 
   it('leaves the local record unchanged when a write was lost', async () => {
     const { store, one } = createLeases()
-    await one.tryTake()
+    await one.tryAcquire()
     store.faults.loseWrites = 1
     assert.equal((await one.update((record) => {
       record.sequence = 7
@@ -123,9 +123,9 @@
 
   it('can be acquired at once after a release', async () => {
     const { one, two } = createLeases()
-    await one.tryTake()
+    await one.tryAcquire()
     await one.release()
-    assert.equal(await two.tryTake(), true)
+    assert.equal(await two.tryAcquire(), true)
   })
 })
 
--- a/placement/mover/src/ShardController.ts
+++ b/placement/mover/src/ShardController.ts
@@ -113,7 +113,7 @@
       this.sentOrders.clear()
       // A new holder sends no order to an engine before reading its inventory.
       this.inspectedAt.clear()
-      if (!await lease.tryTake()) return false
+      if (!await lease.tryAcquire()) return false
       this.renewedAt = clock.readTime()
       ring.record(EventKinds.LEASE_TAKEN, { object: shard, fence: lease.fence })
     }
@@ -233,7 +233,7 @@
 
   private async applyPlan (): Promise<void> {
     const record = this.opts.lease.readRecord()
-    if (!record || !this.opts.lease.mayOrder) return
+    if (!record || !this.opts.lease.maySendOrders) return
     const loading = listInState(record, EntryStates.LOADING).length
     const { input, wanted } = buildPlanInput({
       shard: this.opts.shard,
@@ -297,7 +297,7 @@
 
   private async sendOrder (pending: PendingOrder, sequence: number): Promise<void> {
     const { clock, lease, ring, engines } = this.opts
-    if (!lease.mayOrder) return
+    if (!lease.maySendOrders) return
     const { server, entry, action } = pending
     const order: EngineOrder = {
       order: this.opts.createId(),
--- a/placement/mover/src/drainChannel.ts
+++ b/placement/mover/src/drainChannel.ts
@@ -38,6 +38,6 @@
 function drainLocally (opts: DrainOptions, server: string, item: string): number {
   const runner = opts.table.findRunner(server)
   const now = opts.clock.readTime()
-  runner?.endDrains(now)
+  runner?.clearExpiredDrains(now)
   return runner?.drain(item, now + DRAIN_EXPIRY_MS) ?? 0
 }
--- a/placement/mover/src/startPlacement.ts
+++ b/placement/mover/src/startPlacement.ts
@@ -60,7 +60,7 @@
   const state: PlacementState = { ...opts, map: undefined, controllers: new Map(), demand: new DemandEstimator(), rejections: new Map(), stopped: false }
   handleDrains(opts)
   const subscriptions = [
-    opts.network.receive(DEMAND).subscribe(({ from, body }) => state.demand.takeReading(from, body, opts.clock.readTime())),
+    opts.network.receive(DEMAND).subscribe(({ from, body }) => state.demand.recordRates(from, body, opts.clock.readTime())),
     opts.network.receive(REJECTIONS).subscribe(({ body }) => state.rejections.set(body.shard, new Set(body.items))),
   ]
   signal.addEventListener('abort', () => subscriptions.forEach((it) => it.unsubscribe()))
@@ -113,7 +113,7 @@
 function createController (state: PlacementState, shard: string): ShardController {
   const { clock, view, limits, createId } = state
   const shards = listAllShards(state).length
-  const lease = new ShardLease({ ...state, shard, holder: `${view.self.instance}/${createId()}`, createOperation: createId })
+  const lease = new ShardLease({ ...state, shard, holder: `${view.self.instance}/${createId()}`, createOperationId: createId })
   const budget = new LoadBudget({ clock, loadsPerSecond: limits.loadsPerSecond / shards, loadsAtOnce: Math.max(1, limits.loadsAtOnce / shards) })
   return new ShardController({
     ...state,
@@ -124,7 +124,7 @@
     failureTimeoutMs: FAILURE_TIMEOUT_MS,
     listShards: () => listAllShards(state),
     listServers: () => listShardServers(state, shard),
-    readDemand: (item) => state.demand.read(item),
+    readDemand: (item) => state.demand.readRate(item),
     hasRejected: (other, item) => state.rejections.get(other)?.has(item) ?? false,
     readReportedItems: (server) => readReportedItems(state, server),
     drain: (server, item) => drainOnAllInstances(state, server, item),
@@ -155,7 +155,7 @@
     const rates = state.meter.take(clock.readTime())
     const owners = new Set(listAllShards(state).map((shard) => view.findOwner(`placement/${shard}`)))
     for (const owner of owners) {
-      if (owner === view.self.instance) state.demand.takeReading(owner, rates, clock.readTime())
+      if (owner === view.self.instance) state.demand.recordRates(owner, rates, clock.readTime())
       else network.send(owner, DEMAND, rates)
     }
   }
--- a/placement/mover/test/ShardController.test.ts
+++ b/placement/mover/test/ShardController.test.ts
@@ -72,7 +72,7 @@
       holder: name,
       leaseMs: LEASE_MS,
       orderDelayMs: ORDER_DELAY_MS,
-      createOperation: () => `${name}-${this.ids++}`,
+      createOperationId: () => `${name}-${this.ids++}`,
     })
     const controller = new ShardController({
       clock,
@@ -312,7 +312,7 @@
       Object.assign(bench.holders[1]!, { owner: true })
       await bench.run(8_000)
       assert.equal(bench.holders[1]!.lease.isHeld, true)
-      assert.equal(bench.holders[0]!.lease.mayOrder, false)
+      assert.equal(bench.holders[0]!.lease.maySendOrders, false)
       assert.equal(bench.listReady().size, 2)
     })
   })
--- a/placement/residency/src/OutageGrants.ts
+++ b/placement/residency/src/OutageGrants.ts
@@ -12,13 +12,13 @@
   clock: Clock
   network: PeerNetwork
   /** All other instances that may exist, connected or not. */
-  listOthers: () => readonly string[]
+  listOtherInstances: () => readonly string[]
   /** Milliseconds since this instance lost the store; 0 while it reaches the store directly or through a peer. */
   readStoreLostMs: () => number
   /** Milliseconds since the store last responded. */
-  readStoreAgeMs: () => number
+  readStoreSilenceMs: () => number
   /** Minimum milliseconds between the orders of two lease holders to one server. */
-  turnMs: number
+  minHandoverGapMs: number
   /** When false, this instance neither requests nor gives grants. */
   isEnabled: boolean
 }
@@ -63,15 +63,15 @@
   /** Whether an outage lasts and this instance has a valid grant from every other instance. */
   get isGrantedByAll (): boolean {
     const oldestValidAt = this.opts.clock.readTime() - this.grantMs
-    return this.isOutage && this.opts.listOthers().every((instance) => (this.grantRequestedAt.get(instance) ?? -Infinity) >= oldestValidAt)
+    return this.isOutage && this.opts.listOtherInstances().every((instance) => (this.grantRequestedAt.get(instance) ?? -Infinity) >= oldestValidAt)
   }
 
   /** Requests a grant from every other instance. */
   requestGrants (): void {
-    const { clock, network, listOthers } = this.opts
+    const { clock, network, listOtherInstances } = this.opts
     const requestedAt = clock.readTime()
     const lostMs = this.opts.readStoreLostMs()
-    for (const instance of listOthers()) {
+    for (const instance of listOtherInstances()) {
       void network.call(instance, OUTAGE_GRANT, { lostMs }, this.grantMs).then((answer) => {
         if (answer.isErr()) return
         if (answer.value.granted) this.grantRequestedAt.set(instance, requestedAt)
@@ -82,17 +82,17 @@
   }
 
   private answerHolder (lostMs: number): OutageGrantAnswer {
-    return { granted: this.tryGrant(), reachesStore: this.opts.readStoreAgeMs() < lostMs - DETECTION_SKEW_MS }
+    return { granted: this.tryGrant(), reachesStore: this.opts.readStoreSilenceMs() < lostMs - DETECTION_SKEW_MS }
   }
 
   private tryGrant (): boolean {
     if (!this.isOutage) return false
-    // The holder may send orders until the grant expires; this instance may send its first one `turnMs` after that.
-    this.promisedUntil = this.opts.clock.readTime() + this.grantMs + this.opts.turnMs
+    // The holder may send orders until the grant expires; this instance may send its first one `minHandoverGapMs` after that.
+    this.promisedUntil = this.opts.clock.readTime() + this.grantMs + this.opts.minHandoverGapMs
     return true
   }
 
   private get grantMs (): number {
-    return this.opts.turnMs / 5
+    return this.opts.minHandoverGapMs / 5
   }
 }
--- a/placement/residency/src/ResidencyClient.ts
+++ b/placement/residency/src/ResidencyClient.ts
@@ -13,7 +13,7 @@
 export type RequestedWeights = Pick<WeightsRequest, 'service' | 'model' | 'adapter'>
 
 /** The lease holder's answer to a `WeightsRequest`. */
-export type NeedAnswer =
+export type WeightsAnswer =
   | { coming: true, /** Estimated milliseconds until a server holds the weights. */ expectedMs: number }
   | {
     coming: false
@@ -25,11 +25,11 @@
 /** The request path's access to model placement. */
 export abstract class ResidencyClient {
   /** Requests weights. Resolves with `coming: false` when no live lease holder is known or it doesn't answer in time. */
-  abstract requestWeights (request: WeightsRequest): Promise<NeedAnswer>
+  abstract requestWeights (request: WeightsRequest): Promise<WeightsAnswer>
   /** Counts a new request. */
-  abstract noteDemand (weights: RequestedWeights): void
+  abstract recordRequest (weights: RequestedWeights): void
   /** Counts a request that occupies a slot or waits for one, until the returned function is called. */
-  abstract noteInHand (weights: RequestedWeights): () => void
+  abstract recordInFlight (weights: RequestedWeights): () => void
   /** Counts a request that released its slot, with the milliseconds for which it occupied it and the prompt tokens that the server prefilled. */
-  abstract noteEnded (weights: RequestedWeights, usage: { heldMs: number, readTokens: number }): void
+  abstract recordEnded (weights: RequestedWeights, usage: { heldMs: number, readTokens: number }): void
 }
--- a/placement/residency/src/ResidencyHolder.ts
+++ b/placement/residency/src/ResidencyHolder.ts
@@ -6,7 +6,7 @@
 import type { DemandReport, InheritedLoad } from './channels.js'
 import { LoadBucket } from './LoadBucket.js'
 import { estimateEarliestMs, planLoad, type PlanInput, type PlannedLoad } from './planResidency.js'
-import type { NeedAnswer, WeightsRequest } from './ResidencyClient.js'
+import type { WeightsAnswer, WeightsRequest } from './ResidencyClient.js'
 import { ServerLoads, type HoldOff, type ServerLoadsOptions } from './ServerLoads.js'
 
 const EXPECTED_ADAPTER_LOAD_MS = 220
@@ -60,8 +60,8 @@
   }
 
   /** Answers a request for weights with the expected time until they are loaded. */
-  handleRequest (request: WeightsRequest): NeedAnswer {
-    if (!this.opts.readRight()) return { coming: false, reason: 'this instance does not hold the lease' }
+  handleRequest (request: WeightsRequest): WeightsAnswer {
+    if (!this.opts.readPermit()) return { coming: false, reason: 'this instance does not hold the lease' }
     const serving = this.findServing(request.service)
     if (!serving) return { coming: false, reason: 'the service has no models' }
     const servers = this.listWithModel(request)
@@ -82,7 +82,7 @@
   /** Starts the loads that save the most requests. */
   plan (): void {
     const table = this.opts.readTable()
-    if (!table || !this.opts.readRight()) return
+    if (!table || !this.opts.readPermit()) return
     for (const { name, serving } of table.config.services) {
       if (serving) this.planService(name, serving)
     }
--- a/placement/residency/src/ResidencyService.ts
+++ b/placement/residency/src/ResidencyService.ts
@@ -15,7 +15,7 @@
   type HolderHeartbeat,
   type WeightsChange,
 } from './channels.js'
-import type { NeedAnswer, RequestedWeights, WeightsRequest } from './ResidencyClient.js'
+import type { WeightsAnswer, RequestedWeights, WeightsRequest } from './ResidencyClient.js'
 import { ResidencyClient } from './ResidencyClient.js'
 import { LocalDemand } from './LocalDemand.js'
 import type { OutageGrants } from './OutageGrants.js'
@@ -66,9 +66,9 @@
   lease: ShardLease
   leaseMs: number
   /** The holder's name in the lease. */
-  life: string
+  holderName: string
   /** Minimum milliseconds between the orders of two lease holders to one server. */
-  turnMs: number
+  minHandoverGapMs: number
   holder: ResidencyHolder
   grants: OutageGrants
   /** Live instances that can hold the lease, including this one unless it is leaving. */
@@ -113,7 +113,7 @@
   }
 
   /** Applies a change made by this instance's holder and announces it to the other instances. */
-  spreadWeights (change: WeightsChange): void {
+  announceWeights (change: WeightsChange): void {
     this.opts.network.broadcast(WEIGHTS_CHANGE, change)
     this.applyWeightsChange(change)
   }
@@ -122,21 +122,21 @@
   async stop (): Promise<void> {
     await this.waitForOutageEnd()
     this.stopping = true
-    if (!this.opts.lease.isKept) return
+    if (!this.opts.lease.hasRecord) return
     await this.opts.clock.wait(ORDERS_DRAIN_MS)
     this.handOver()
     await this.opts.lease.release()
   }
 
   /** Whether this instance may send orders now. */
-  get mayOrder (): boolean {
-    return !this.stopping && (this.opts.lease.mayOrder || this.isGrantedInOutage)
+  get maySendOrders (): boolean {
+    return !this.stopping && (this.opts.lease.maySendOrders || this.isGrantedInOutage)
   }
 
   /** Whether grants let this instance continue although the lease can't be renewed during an outage of the store. */
   private get isGrantedInOutage (): boolean {
     const { lease, grants } = this.opts
-    return this.hasOrdered && lease.isKept && grants.isGrantedByAll
+    return this.hasOrdered && lease.hasRecord && grants.isGrantedByAll
   }
 
   /** Lets a holder that is stopping continue for a while during an outage, since no instance can acquire the lease then. */
@@ -147,27 +147,27 @@
   }
 
   /** The instance that sends orders, as far as this one knows; undefined while no live holder is known. */
-  get orderer (): string | undefined {
-    return this.mayOrder ? this.opts.instance : this.findHolder()
+  get activeHolder (): string | undefined {
+    return this.maySendOrders ? this.opts.instance : this.findHolder()
   }
 
-  override async requestWeights (request: WeightsRequest): Promise<NeedAnswer> {
-    if (this.mayOrder) return this.opts.holder.handleRequest(request)
+  override async requestWeights (request: WeightsRequest): Promise<WeightsAnswer> {
+    if (this.maySendOrders) return this.opts.holder.handleRequest(request)
     const holder = this.findHolder()
     if (holder === undefined) return { coming: false, reason: 'no live lease holder is known' }
     const answer = await this.opts.network.call(holder, WEIGHTS_REQUEST, request, CALL_TIMEOUT_MS)
     return answer.isOk() ? answer.value : { coming: false, reason: 'the lease holder did not answer' }
   }
 
-  override noteDemand (weights: RequestedWeights): void {
+  override recordRequest (weights: RequestedWeights): void {
     this.demand.recordRequest(weights)
   }
 
-  override noteInHand (weights: RequestedWeights): () => void {
+  override recordInFlight (weights: RequestedWeights): () => void {
     return this.demand.recordInFlight(weights)
   }
 
-  override noteEnded (weights: RequestedWeights, usage: { heldMs: number, readTokens: number }): void {
+  override recordEnded (weights: RequestedWeights, usage: { heldMs: number, readTokens: number }): void {
     this.demand.recordEnded(weights, usage)
   }
 
@@ -177,8 +177,8 @@
   }
 
   private handOver (): void {
-    const { holder, lease, turnMs } = this.opts
-    const handover: Handover = { holder: this.opts.life, fence: lease.fence, ordered: holder.listOrdered(turnMs), loads: holder.listRunning() }
+    const { holder, lease, minHandoverGapMs } = this.opts
+    const handover: Handover = { holder: this.opts.holderName, fence: lease.fence, ordered: holder.listOrdered(minHandoverGapMs), loads: holder.listRunning() }
     this.opts.log.record(DecisionKinds.LEASE_HANDED_OVER, { fence: handover.fence, ordered: handover.ordered.map(([backend]) => backend) })
     this.opts.network.broadcast(HANDOVER, handover)
     this.handleHandover(this.opts.instance, handover)
@@ -190,7 +190,7 @@
   }
 
   private handleHeartbeat (from: string, heartbeat: HolderHeartbeat): void {
-    this.opts.lease.noteWritten(heartbeat.recordVersion)
+    this.opts.lease.recordHolderWrite(heartbeat.recordVersion)
     if (this.lastHeartbeat?.instance !== from) this.opts.log.record(DecisionKinds.HOLDER_CHANGED, { holder: from, fence: heartbeat.fence })
     this.lastHeartbeat = { instance: from, at: this.opts.clock.readTime() }
     if (this.handover && heartbeat.fence > this.handover.fence) this.handover = undefined
@@ -222,7 +222,7 @@
   /** Whether this instance holds the lease, or held it when the store was lost. */
   private get isHolder (): boolean {
     const { lease, grants } = this.opts
-    return lease.isHeld || (this.hasOrdered && lease.isKept && (grants.isLost || this.isAfterOutage))
+    return lease.isHeld || (this.hasOrdered && lease.hasRecord && (grants.isLost || this.isAfterOutage))
   }
 
   private get isAfterOutage (): boolean {
@@ -235,7 +235,7 @@
     if (grants.isLost) this.lastOutageAt = this.opts.clock.readTime()
     if (grants.isLost && this.isDue('ASK_GRANTS')) grants.requestGrants()
     if (!this.renewing && this.isDue('RENEW')) void this.renew()
-    if (!this.mayOrder) {
+    if (!this.maySendOrders) {
       if (this.hasOrdered && (!this.isAfterOutage || grants.isContradicted)) await this.dropLease()
       return
     }
@@ -255,7 +255,7 @@
     const { isContradicted } = grants
     await this.opts.clock.wait(OUTAGE_DETECTION_MS)
     // The outage may be detected only now; while the store is lost to all, no instance can acquire the lease.
-    if (this.mayOrder || (grants.isLost && !isContradicted)) return
+    if (this.maySendOrders || (grants.isLost && !isContradicted)) return
     this.hasOrdered = false
     this.handOver()
     this.opts.lease.abandon()
@@ -266,11 +266,11 @@
     const { lease, log } = this.opts
     const epoch = readEpoch(lease.recordVersion)
     this.renewing = true
-    const renewed = await lease.renew(() => this.mayOrder)
+    const renewed = await lease.renew(() => this.maySendOrders)
     this.renewing = false
-    if (renewed.isOk() && readEpoch(lease.recordVersion) > epoch) log.record(DecisionKinds.RECORD_RESTORED, { record: 'lease', key: this.opts.life })
+    if (renewed.isOk() && readEpoch(lease.recordVersion) > epoch) log.record(DecisionKinds.RECORD_RESTORED, { record: 'lease', key: this.opts.holderName })
     // A successor measures the lease time from the latest announced version, so each one is announced at once.
-    if (renewed.isOk() && this.mayOrder) this.sendHeartbeat()
+    if (renewed.isOk() && this.maySendOrders) this.sendHeartbeat()
   }
 
   /** Tries to acquire the lease when no live holder is known and this instance is the preferred candidate. */
@@ -282,7 +282,7 @@
     const candidates = this.opts.listCandidates()
       .filter((candidate) => candidate.instance !== silentHolder && (!isDeferring || candidate.instance !== this.handover?.from))
     if (chooseHolder(candidates) !== instance) return
-    if (this.isDue('ACQUIRE') && await lease.tryTake(this.handover)) this.beginOrdering()
+    if (this.isDue('ACQUIRE') && await lease.tryAcquire(this.handover)) this.beginOrdering()
   }
 
   private hasRecentHandover (handover: { at: number } | undefined): boolean {
@@ -290,16 +290,16 @@
   }
 
   private beginOrdering (): void {
-    const { lease, holder, turnMs, clock } = this.opts
+    const { lease, holder, minHandoverGapMs, clock } = this.opts
     const { handover } = this
     const now = clock.readTime()
     const holdOff: HoldOff = { notBefore: -Infinity, byBackend: new Map() }
-    if (lease.takenFrom === LeaseOrigins.HANDED_OVER && handover) {
-      holdOff.byBackend = new Map(handover.ordered.map(([backend, agoMs]) => [backend, handover.at - agoMs + turnMs]))
-    } else if (lease.takenFrom === LeaseOrigins.RELEASED) {
-      holdOff.notBefore = now + turnMs
+    if (lease.origin === LeaseOrigins.HANDED_OVER && handover) {
+      holdOff.byBackend = new Map(handover.ordered.map(([backend, agoMs]) => [backend, handover.at - agoMs + minHandoverGapMs]))
+    } else if (lease.origin === LeaseOrigins.RELEASED) {
+      holdOff.notBefore = now + minHandoverGapMs
     }
-    holder.begin(holdOff, lease.takenFrom === LeaseOrigins.HANDED_OVER ? handover?.loads : [])
+    holder.begin(holdOff, lease.origin === LeaseOrigins.HANDED_OVER ? handover?.loads : [])
   }
 
   private reportHolderChange (): void {
@@ -313,7 +313,7 @@
   private sendDemand (): void {
     const report = this.demand.buildReport()
     if (!report) return
-    const holder = this.mayOrder ? undefined : this.findHolder()
+    const holder = this.maySendOrders ? undefined : this.findHolder()
     if (this.isHolder) this.opts.holder.recordDemand(this.opts.instance, report)
     else if (holder === undefined || !this.opts.network.send(holder, DEMAND_REPORT, report)) return
     this.demand.clear()
--- a/placement/residency/src/ServerLoads.ts
+++ b/placement/residency/src/ServerLoads.ts
@@ -45,7 +45,7 @@
   weights: WeightsClient
   log: DecisionLog
   /** Undefined while this instance may not send orders. */
-  readRight: () => OrderPermit | undefined
+  readPermit: () => OrderPermit | undefined
   onChange: (change: WeightsChange) => void
 }
 
@@ -216,9 +216,9 @@
   private findOrders (backend: Backend): ServerOrders {
     const present = this.orders.get(backend.id)
     if (present) return present
-    const { clock, weights, log, readRight } = this.opts
+    const { clock, weights, log, readPermit } = this.opts
     const notBefore = this.readHoldOff(backend.id)
-    const created = new ServerOrders({ clock, weights, log, readRight, notBefore, backendId: backend.id, address: backend.entry.address })
+    const created = new ServerOrders({ clock, weights, log, readPermit, notBefore, backendId: backend.id, address: backend.entry.address })
     this.orders.set(backend.id, created)
     return created
   }
--- a/placement/residency/src/ServerOrders.ts
+++ b/placement/residency/src/ServerOrders.ts
@@ -35,7 +35,7 @@
   backendId: string
   address: string
   /** Undefined while this instance may not send orders. */
-  readRight: () => OrderPermit | undefined
+  readPermit: () => OrderPermit | undefined
   /** Monotone time before which no order is sent, because of an earlier holder's recent orders. */
   notBefore: number
 }
@@ -86,7 +86,7 @@
   async send (action: WeightsOrder['action'], model: string, adapter: string | undefined): Promise<SentOrder | undefined> {
     const delayMs = this.opts.notBefore - this.opts.clock.readTime()
     if (delayMs > 0) await this.opts.clock.wait(delayMs)
-    const permit = this.opts.readRight()
+    const permit = this.opts.readPermit()
     if (!permit || this.sequence === undefined) return undefined
     const { log, backendId } = this.opts
     const order = { action, model, adapter, expectedSequence: this.sequence, ...permit }
@@ -107,7 +107,7 @@
       if (answer.isOk() && answer.value === OrderAnswers.HOLDS) return SentOrders.HOLDS
       // A conflict on a repeated order most likely means that an earlier copy was accepted.
       if (answer.isOk()) return attempt > 1 && answer.value === OrderAnswers.CONFLICT ? SentOrders.UNCERTAIN : undefined
-      if (attempt >= MAX_SEND_ATTEMPTS || !this.opts.readRight()) return SentOrders.UNCERTAIN
+      if (attempt >= MAX_SEND_ATTEMPTS || !this.opts.readPermit()) return SentOrders.UNCERTAIN
     }
   }
 
--- a/placement/residency/src/channels.ts
+++ b/placement/residency/src/channels.ts
@@ -1,7 +1,7 @@
 import { defineChannel } from '@pulleystack/membership.peers'
 import type { PlannedLoad } from './planResidency.js'
 import type { DemandCount } from './DemandTracker.js'
-import type { NeedAnswer, WeightsRequest } from './ResidencyClient.js'
+import type { WeightsAnswer, WeightsRequest } from './ResidencyClient.js'
 
 /** Heartbeat of the lease holder, with the version of the lease record that it last wrote. */
 export interface HolderHeartbeat {
@@ -30,9 +30,9 @@
 }
 
 /** Announces that the lease holder sends no more orders. */
-export const HANDOVER = defineChannel<Handover>('residency.handover', { isOnce: true })
+export const HANDOVER = defineChannel<Handover>('residency.handover', { isOneShot: true })
 /** Requests weights from the lease holder. */
-export const WEIGHTS_REQUEST = defineChannel<WeightsRequest, NeedAnswer>('residency.need')
+export const WEIGHTS_REQUEST = defineChannel<WeightsRequest, WeightsAnswer>('residency.need')
 /** Demand at one instance over an interval. */
 export interface DemandReport {
   counts: DemandCount[]
@@ -53,7 +53,7 @@
 }
 
 /** Announces that weights were loaded or are about to be unloaded. */
-export const WEIGHTS_CHANGE = defineChannel<WeightsChange>('residency.weights', { isOnce: true })
+export const WEIGHTS_CHANGE = defineChannel<WeightsChange>('residency.weights', { isOneShot: true })
 
 /** Answer to a lease holder that has lost the store. */
 export interface OutageGrantAnswer {
--- a/placement/residency/src/index.ts
+++ b/placement/residency/src/index.ts
@@ -1,5 +1,5 @@
 export { ResidencyClient } from './ResidencyClient.js'
-export type { NeedAnswer, RequestedWeights, WeightsRequest } from './ResidencyClient.js'
+export type { WeightsAnswer, RequestedWeights, WeightsRequest } from './ResidencyClient.js'
 export { DemandTracker, sumByModel } from './DemandTracker.js'
 export type { DemandCount, ModelDemand } from './DemandTracker.js'
 export { Allocation } from './Allocation.js'
--- a/placement/residency/test/OutageGrants.test.ts
+++ b/placement/residency/test/OutageGrants.test.ts
@@ -19,16 +19,16 @@
   let holder: Node
   let other: Node
 
-  const createNode = (name: string, listOthers: () => string[]): Node => {
+  const createNode = (name: string, listOtherInstances: () => string[]): Node => {
     const node: Node = { grants: undefined as unknown as OutageGrants, storeLostSince: undefined }
     const readLostMs = (): number => node.storeLostSince === undefined ? 0 : clock.readTime() - node.storeLostSince
     node.grants = new OutageGrants({
       clock,
       network: hub.createNode({ instance: name, incarnation: 1, address: '', peerAddress: '', region: '', dataHall: '', leaving: false }),
-      listOthers,
+      listOtherInstances,
       readStoreLostMs: readLostMs,
-      readStoreAgeMs: readLostMs,
-      turnMs: TURN_MS,
+      readStoreSilenceMs: readLostMs,
+      minHandoverGapMs: TURN_MS,
       isEnabled: true,
     })
     node.grants.start()
--- a/placement/residency/test/ResidencyHolder.test.ts
+++ b/placement/residency/test/ResidencyHolder.test.ts
@@ -4,7 +4,7 @@
 import { DEFAULT_POLICY } from '@pulleystack/config.settings'
 import { ManualClock } from '@pulleystack/core.clock'
 import { BackendFleet } from '@pulleystack/routing.fleet'
-import { SilentDecisionLog } from '@pulleystack/timeline.decisions'
+import { NullDecisionLog } from '@pulleystack/timeline.decisions'
 import { ResidencyHolder } from '../src/index.js'
 import { RecordingServers, SERVING } from './RecordingServers.js'
 
@@ -25,8 +25,8 @@
     }
     const limits = { headerBytes: 1, bodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 }
     const table = new RouteTable({ version: 1, routes: [], services: [{ name: 's', maxConnections: 10, serving }], limits })
-    const log = new SilentDecisionLog()
-    const holder = new ResidencyHolder({ clock, fleet, weights: servers, log, policy: DEFAULT_POLICY, readTable: () => table, readRight: () => ({ holder: 'h', fence: 1 }), onChange: () => undefined })
+    const log = new NullDecisionLog()
+    const holder = new ResidencyHolder({ clock, fleet, weights: servers, log, policy: DEFAULT_POLICY, readTable: () => table, readPermit: () => ({ holder: 'h', fence: 1 }), onChange: () => undefined })
     const counts = models.map(({ name }) => ({ service: 's', model: name, adapter: undefined, requests: 10, ended: 0, heldMs: 0, readTokens: 0, inHand: 10 }))
     holder.recordDemand('e1', { counts, spanMs: 1_000 })
     for (let tick = 0; tick < 20; tick++) {
--- a/placement/residency/test/ResidencyService.test.ts
+++ b/placement/residency/test/ResidencyService.test.ts
@@ -9,7 +9,7 @@
 import { FakeHub } from '@pulleystack/membership.fake-network'
 import { ShardLease } from '@pulleystack/placement.ledger'
 import { BackendFleet } from '@pulleystack/routing.fleet'
-import { SilentDecisionLog } from '@pulleystack/timeline.decisions'
+import { NullDecisionLog } from '@pulleystack/timeline.decisions'
 import { OutageGrants, ResidencyHolder, ResidencyService } from '../src/index.js'
 import { RecordingServers, SERVING } from './RecordingServers.js'
 
@@ -55,7 +55,7 @@
   let hub: FakeHub
   let detectionMs: number
 
-  const listHolders = (): string[] => nodes.filter((node) => node.service.mayOrder).map((node) => node.name)
+  const listHolders = (): string[] => nodes.filter((node) => node.service.maySendOrders).map((node) => node.name)
   const requestModel = (node: Node, model: string): Promise<unknown> => node.service.requestWeights({ service: 's', model, adapter: undefined, isMore: false, waitMs: 3_000 })
   /** Shortest time between the orders of two holders to one server. */
   const findShortestGapAtServer = (): number => {
@@ -104,7 +104,7 @@
   })
 
   it('hands over in a planned stop and waits only for servers with recent orders', async () => {
-    const first = nodes.find((node) => node.service.mayOrder) as Node
+    const first = nodes.find((node) => node.service.maySendOrders) as Node
     await requestModel(first, 'd')
     await clock.advance(300)
     const ordered = new Set(servers.received.map((order) => order.server))
@@ -114,22 +114,22 @@
     await stopping
     first.ended.abort()
     await clock.advance(1_500)
-    const [second] = nodes.filter((node) => node.service.mayOrder)
+    const [second] = nodes.filter((node) => node.service.maySendOrders)
     assert.ok(second && second !== first)
     await clock.advance(8_000)
     assert.ok(findShortestGapAtServer() >= TURN_MS, `gap of ${findShortestGapAtServer()} ms`)
   })
 
   it('hands over when only the holder loses the store, keeping the minimum time between the orders of two holders', async () => {
-    const first = nodes.find((node) => node.service.mayOrder) as Node
+    const first = nodes.find((node) => node.service.maySendOrders) as Node
     first.store.isUnresponsive = true
     await churn(60)
-    assert.ok(nodes.some((node) => node !== first && node.service.mayOrder))
+    assert.ok(nodes.some((node) => node !== first && node.service.maySendOrders))
     assert.ok(findShortestGapAtServer() >= TURN_MS, `gap of ${findShortestGapAtServer()} ms`)
   })
 
   it('announces an unload to all instances', async () => {
-    const first = nodes.find((node) => node.service.mayOrder) as Node
+    const first = nodes.find((node) => node.service.maySendOrders) as Node
     const others = nodes.filter((node) => node !== first)
     const countHolding = (node: Node): number => ['r1', 'r2', 'r3'].flatMap((id) => ['a', 'b', 'c'].filter((model) => node.fleet.find(id)?.hasWeights(model))).length
     assert.deepEqual(others.map(countHolding), [9, 9])
@@ -141,7 +141,7 @@
   it('leaves the lease to the live instance with the highest capacity', async () => {
     for (const name of ['n1', 'n2', 'n3']) {
       capacities.clear()
-      const first = nodes.find((node) => node.service.mayOrder) as Node
+      const first = nodes.find((node) => node.service.maySendOrders) as Node
       capacities.set(name, 4)
       if (first.name === name) continue
       first.store.isUnresponsive = true
@@ -153,12 +153,12 @@
   })
 
   it('replaces a holder that stops responding, keeping the minimum time between the orders of two holders', async () => {
-    const first = nodes.find((node) => node.service.mayOrder) as Node
+    const first = nodes.find((node) => node.service.maySendOrders) as Node
     await churn(10)
     first.ended.abort()
     first.store.isUnresponsive = true
     await churn(60)
-    assert.ok(nodes.some((node) => node !== first && node.service.mayOrder))
+    assert.ok(nodes.some((node) => node !== first && node.service.maySendOrders))
     assert.ok(findShortestGapAtServer() >= TURN_MS, `gap of ${findShortestGapAtServer()} ms`)
   })
 
@@ -169,7 +169,7 @@
     }
 
     it('keeps the holder while no other instance can acquire the lease', async () => {
-      const first = nodes.find((node) => node.service.mayOrder) as Node
+      const first = nodes.find((node) => node.service.maySendOrders) as Node
       setStoreDown(nodes)
       await churn(50)
       assert.deepEqual(listHolders(), [first.name])
@@ -183,7 +183,7 @@
     })
 
     it('keeps the holder when the outage is detected only after its permission to send orders has expired', async () => {
-      const first = nodes.find((node) => node.service.mayOrder) as Node
+      const first = nodes.find((node) => node.service.maySendOrders) as Node
       detectionMs = 1_000
       setStoreDown(nodes)
       await churn(30)
@@ -191,15 +191,15 @@
     })
 
     it('hands over soon when the store fails for the holder only', async () => {
-      const first = nodes.find((node) => node.service.mayOrder) as Node
+      const first = nodes.find((node) => node.service.maySendOrders) as Node
       setStoreDown([first])
       await churn(15)
-      assert.ok(nodes.some((node) => node !== first && node.service.mayOrder))
+      assert.ok(nodes.some((node) => node !== first && node.service.maySendOrders))
       assert.ok(findShortestGapAtServer() >= TURN_MS, `gap of ${findShortestGapAtServer()} ms`)
     })
 
     it('stops sending orders when an instance stops responding, since that one may reach the store', async () => {
-      const first = nodes.find((node) => node.service.mayOrder) as Node
+      const first = nodes.find((node) => node.service.maySendOrders) as Node
       const silent = nodes.find((node) => node !== first) as Node
       setStoreDown(nodes)
       await churn(20)
@@ -232,7 +232,7 @@
     }
 
     it('hands over to an instance with a record of the latest orders, not to the stopped holder', async () => {
-      const first = nodes.find((node) => node.service.mayOrder) as Node
+      const first = nodes.find((node) => node.service.maySendOrders) as Node
       await churn(5)
       setStoreDown(nodes)
       await churn(5)
@@ -247,7 +247,7 @@
     })
 
     it('releases the lease in a planned stop', async () => {
-      const first = nodes.find((node) => node.service.mayOrder) as Node
+      const first = nodes.find((node) => node.service.maySendOrders) as Node
       setStoreDown(nodes)
       await churn(15)
       const stopping = first.service.stop()
@@ -256,19 +256,19 @@
       first.ended.abort()
       setStoreDown([])
       await churn(40)
-      assert.ok(nodes.some((node) => node !== first && node.service.mayOrder))
+      assert.ok(nodes.some((node) => node !== first && node.service.maySendOrders))
       assert.ok(findShortestGapAtServer() >= TURN_MS, `gap of ${findShortestGapAtServer()} ms`)
     })
   })
 
   it('replaces an unresponsive holder as soon as the lease time since its last heartbeat allows', async () => {
-    const first = nodes.find((node) => node.service.mayOrder) as Node
+    const first = nodes.find((node) => node.service.maySendOrders) as Node
     await churn(5)
     first.ended.abort()
     first.store.isUnresponsive = true
     // Lease time with clock drift, and twice the order delay; instances check every third of a second.
     await churn(Math.ceil((LEASE_MS * 1.05 + 2 * DELAY_MS + 500) / 200))
-    assert.ok(nodes.some((node) => node !== first && node.service.mayOrder))
+    assert.ok(nodes.some((node) => node !== first && node.service.maySendOrders))
     assert.ok(findShortestGapAtServer() >= TURN_MS, `gap of ${findShortestGapAtServer()} ms`)
   })
 
@@ -308,18 +308,18 @@
   const store = new FailingStore(it.shared)
   let operations = 0
   const createOperation = (): string => `${name}-${operations++}`
-  const lease = new ShardLease({ clock, store, shard: 'x', holder: `${name}@1`, leaseMs: LEASE_MS, orderDelayMs: DELAY_MS, createOperation })
+  const lease = new ShardLease({ clock, store, shard: 'x', holder: `${name}@1`, leaseMs: LEASE_MS, orderDelayMs: DELAY_MS, createOperationId: createOperation })
   const limits = { headerBytes: 1, bodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 }
   const table = new RouteTable({ version: 1, routes: [], services: [{ name: 's', maxConnections: 10, serving: SERVING }], limits })
-  const log = new SilentDecisionLog()
+  const log = new NullDecisionLog()
   const network = it.hub.createNode({ instance: name, incarnation: 1, address: '', peerAddress: '', region: '', dataHall: '', leaving: false })
   const grants = new OutageGrants({
     clock,
     network,
-    listOthers: () => it.listAll().filter((other) => other !== name),
+    listOtherInstances: () => it.listAll().filter((other) => other !== name),
     readStoreLostMs: () => store.unavailableSince === undefined ? 0 : Math.max(0, clock.readTime() - store.unavailableSince - it.readDetectionMs()),
-    readStoreAgeMs: () => store.unavailableSince === undefined ? 0 : clock.readTime() - store.unavailableSince,
-    turnMs: TURN_MS,
+    readStoreSilenceMs: () => store.unavailableSince === undefined ? 0 : clock.readTime() - store.unavailableSince,
+    minHandoverGapMs: TURN_MS,
     isEnabled: true,
   })
   const holder = new ResidencyHolder({
@@ -332,8 +332,8 @@
       refresh()
       return table
     },
-    readRight: () => service.mayOrder ? { holder: name, fence: lease.fence } : undefined,
-    onChange: (change) => service.spreadWeights(change),
+    readPermit: () => service.maySendOrders ? { holder: name, fence: lease.fence } : undefined,
+    onChange: (change) => service.announceWeights(change),
   })
   const service: ResidencyService = new ResidencyService({
     clock,
@@ -343,8 +343,8 @@
     instance: name,
     lease,
     leaseMs: LEASE_MS,
-    life: `${name}@1`,
-    turnMs: TURN_MS,
+    holderName: `${name}@1`,
+    minHandoverGapMs: TURN_MS,
     holder,
     grants,
     listCandidates: () => it.listNames().map((instance) => ({ instance, capacity: it.readCapacity(instance) })),
--- a/placement/residency/test/channels.test.ts
+++ b/placement/residency/test/channels.test.ts
@@ -4,6 +4,6 @@
 
 describe('messages that the holder sends only once', () => {
   it('are not dropped when a link is congested', () => {
-    for (const channel of [HANDOVER, WEIGHTS_CHANGE]) assert.equal(channel.isOnce, true, channel.name)
+    for (const channel of [HANDOVER, WEIGHTS_CHANGE]) assert.equal(channel.isOneShot, true, channel.name)
   })
 })
--- a/placement/residency/test/loadAdapter.test.ts
+++ b/placement/residency/test/loadAdapter.test.ts
@@ -5,7 +5,7 @@
 import type { ModelServing } from '@pulleystack/config.routes'
 import { ManualClock } from '@pulleystack/core.clock'
 import type { PulleystackError } from '@pulleystack/core.errors'
-import { SilentDecisionLog } from '@pulleystack/timeline.decisions'
+import { NullDecisionLog } from '@pulleystack/timeline.decisions'
 import { loadAdapter } from '../src/loadAdapter.js'
 import { ServerOrders } from '../src/index.js'
 
@@ -59,10 +59,10 @@
     const orders = new ServerOrders({
       clock,
       weights: server,
-      log: new SilentDecisionLog(),
+      log: new NullDecisionLog(),
       backendId: 'r1',
       address: '127.0.0.1:1',
-      readRight: () => ({ holder: 'h', fence: 1 }),
+      readPermit: () => ({ holder: 'h', fence: 1 }),
       notBefore: -Infinity,
     })
     const loading = loadAdapter({ serving: SERVING, orders, readIdleMs: (name) => name === 'm/a1' ? 9 : 1, onChange: () => undefined }, 'm', adapter)
--- a/program/cli/src/commands/certificates.ts
+++ b/program/cli/src/commands/certificates.ts
@@ -1,7 +1,7 @@
 import { mkdir, readFile, writeFile } from 'node:fs/promises'
 import path from 'node:path'
 import { PulleystackError } from '@pulleystack/core.errors'
-import { createAccessKey, createAuthority, createCertificate, loadPair, type KeyPair } from '@pulleystack/membership.keys'
+import { createAccessKey, createAuthority, createCertificate, checkKeyPair, type KeyPair } from '@pulleystack/membership.keys'
 import type { Command } from 'cac'
 import { ExitCodes, type CommandContext, type ExitCode } from '../Command.js'
 
@@ -30,7 +30,7 @@
   await mkdir(dir, { recursive: true })
   const authority = await readPair(dir, 'authority') ?? await writePair(dir, 'authority', createAuthority({ name: 'pulleystack', ...validity }))
   // One that was made before may be such that nothing can load it.
-  loadPair(authority)
+  checkKeyPair(authority)
   await writeFile(path.join(dir, 'peers.secret'), createAccessKey('peers'), { mode: SECRET_MODE, flag: 'wx' }).catch(() => undefined)
   for (const instance of instances) await writePair(dir, instance, createCertificate(authority, { name: instance, ...validity }))
   context.write(`wrote ${instances.length} certificates to ${dir}`)
@@ -48,7 +48,7 @@
 
 async function writePair (dir: string, file: string, pair: KeyPair): Promise<KeyPair> {
   // An operator would else hear of it at an instance's start.
-  loadPair(pair)
+  checkKeyPair(pair)
   await writeFile(path.join(dir, `${file}.crt`), pair.certificate)
   await writeFile(path.join(dir, `${file}.key`), pair.key, { mode: SECRET_MODE })
   return pair
--- a/program/cli/src/commands/explainRequest.ts
+++ b/program/cli/src/commands/explainRequest.ts
@@ -1,6 +1,6 @@
 import { readFile } from 'node:fs/promises'
 import { PulleystackError } from '@pulleystack/core.errors'
-import { buildStory, readLogLines, renderStory, type LogLine } from '@pulleystack/timeline.story'
+import { buildRequestTrace, readLogLines, renderRequestTrace, type LogLine } from '@pulleystack/timeline.story'
 import type { Command } from 'cac'
 import { ExitCodes, type CommandContext, type ExitCode } from '../Command.js'
 
@@ -22,9 +22,9 @@
   const files = [...named, ...[opts.logs ?? []].flat().map(String)]
   if (id === undefined || files.length === 0) throw new PulleystackError('USAGE', 'Name a request and the logs to look into', { hint: 'pulleystack explain-request ID FILE...' })
   const lines = (await Promise.all(files.map(readLog))).flat()
-  const story = buildStory(lines, id)
+  const story = buildRequestTrace(lines, id)
   if (!story) throw new PulleystackError('OBJECT_UNKNOWN', `No line of these logs is about request ${id}`, { hint: 'Look into the logs of all instances.' })
-  context.write(renderStory(story))
+  context.write(renderRequestTrace(story))
   return ExitCodes.OK
 }
 
--- a/program/entry/src/EntryMetrics.ts
+++ b/program/entry/src/EntryMetrics.ts
@@ -14,7 +14,7 @@
 /** What the figures are read from. */
 export interface EntryMetricsOptions {
   fleet: Pick<BackendFleet, 'listAll'>
-  mesh: Pick<InstanceMesh, 'listLive'>
+  mesh: Pick<InstanceMesh, 'listLinked'>
   network: Pick<WebSocketNetwork, 'backlogBytes' | 'unsentFrames'>
   epochs: Pick<StoreEpochs, 'newest' | 'changes'>
   readConfigVersion: () => number
@@ -55,7 +55,7 @@
   constructor (opts: EntryMetricsOptions) {
     this.addGauge('config_version', 'Version of the routing configuration in force', opts.readConfigVersion)
     this.addGauge('backends', 'Backend servers known', () => opts.fleet.listAll().length)
-    this.addGauge('peers', 'Other instances with a live link', () => opts.mesh.listLive().length)
+    this.addGauge('peers', 'Other instances with a live link', () => opts.mesh.listLinked().length)
     this.addGauge('waiting_requests', 'Requests that wait for a place', opts.readWaiting)
     this.addGauge('suspect_requests', 'Requests that are remembered since a server ended under them', opts.readSuspects)
     this.addGauge('peer_backlog_bytes', 'Bytes that wait to leave for peers', () => opts.network.backlogBytes)
@@ -100,8 +100,8 @@
       help: 'Times that the store was seen to have come back from an older copy',
       registers: [this.registry],
     })
-    epochs.changes.subscribe(({ former }) => {
-      if (former !== undefined) restores.inc()
+    epochs.changes.subscribe(({ previous }) => {
+      if (previous !== undefined) restores.inc()
     })
   }
 
--- a/program/entry/src/NamedInstances.ts
+++ b/program/entry/src/NamedInstances.ts
@@ -6,7 +6,7 @@
 export class NamedInstances {
   private named: ReadonlySet<string> = new Set()
 
-  constructor (private readonly log: DecisionLog, private readonly mesh: Pick<InstanceMesh, 'describeServing'>) {}
+  constructor (private readonly log: DecisionLog, private readonly mesh: Pick<InstanceMesh, 'countServingSources'>) {}
 
   note (identities: readonly PeerIdentity[]): void {
     const named = new Set(identities.map((identity) => identity.instance))
@@ -14,6 +14,6 @@
     const removed = [...this.named].filter((instance) => !named.has(instance))
     this.named = named
     if (added.length + removed.length === 0) return
-    this.log.record(DecisionKinds.DIRECTORY_CHANGED, { added, removed, ...this.mesh.describeServing() })
+    this.log.record(DecisionKinds.DIRECTORY_CHANGED, { added, removed, ...this.mesh.countServingSources() })
   }
 }
--- a/program/entry/src/StopPlan.ts
+++ b/program/entry/src/StopPlan.ts
@@ -39,7 +39,7 @@
   }
 
   /** Whether a request that may last until its deadline may begin; one that would be cut at the end is better refused. */
-  mayBegin (now: number, deadline: number): boolean {
+  mayStart (now: number, deadline: number): boolean {
     if (now >= this.servesUntil) return false
     return now < this.startedAt + LONG_WORK_MS || deadline <= this.endsAt
   }
--- a/program/entry/src/createGateway.ts
+++ b/program/entry/src/createGateway.ts
@@ -1,7 +1,7 @@
 import type { RouteTable } from '@pulleystack/config.routes'
 import type { Policy } from '@pulleystack/config.settings'
 import type { RandomSource } from '@pulleystack/core.clock'
-import { InstanceRelay, QuotaGate, RoutedGateway, StreamPace, SuspectGate, type BackendQueue, type RelayTarget } from '@pulleystack/gateway.routed'
+import { InstanceRelay, QuotaGate, RoutedGateway, StreamFlusher, SuspectGate, type BackendQueue, type RelayTarget } from '@pulleystack/gateway.routed'
 import { listRanked } from '@pulleystack/core.hashing'
 import { isServing, type InstanceMesh } from '@pulleystack/membership.mesh'
 import type { PeerNetwork } from '@pulleystack/membership.peers'
@@ -9,7 +9,7 @@
 import type { BackendFleet, ServerReports } from '@pulleystack/routing.fleet'
 import { BackendAgent, ServerProbe } from '@pulleystack/routing.forward'
 import { CountedLimits, PooledLimits, type TeamLimits } from '@pulleystack/routing.limits'
-import { LoneRunRule, Quarantine } from '@pulleystack/routing.quarantine'
+import { ExclusiveRunRule, Quarantine } from '@pulleystack/routing.quarantine'
 import { RetryBudgets } from '@pulleystack/routing.retries'
 import { describeStanding, listServing } from './describeStanding.js'
 import type { EntryMetrics } from './EntryMetrics.js'
@@ -31,7 +31,7 @@
   metrics: EntryMetrics
   readTable: () => RouteTable | undefined
   isTableCurrent: () => boolean
-  mayBegin: (deadline: number) => boolean
+  mayStart: (deadline: number) => boolean
   mustClose: () => boolean
 }
 
@@ -40,7 +40,7 @@
 
 /** The gateway for routed requests, with a retry budget for each service. */
 export function createGateway (parts: GatewayParts): RoutedGateway {
-  const { deps, clock, random, log, limits, quarantine, queue, fleet, statements, residency, metrics, readTable, isTableCurrent, mayBegin, mustClose } = parts
+  const { deps, clock, random, log, limits, quarantine, queue, fleet, statements, residency, metrics, readTable, isTableCurrent, mayStart, mustClose } = parts
   const { protocol } = deps
   const budgets = createBudgets(parts)
   return new RoutedGateway({
@@ -54,14 +54,14 @@
     queue,
     fleet,
     reports: statements,
-    pace: new StreamPace(clock),
+    flusher: new StreamFlusher(clock),
     residency,
     findBudget: (service) => budgets.find(service),
     quotas: limits && new QuotaGate({ log, limits, onUnits: (team, outcome, units) => metrics.countUnits(team, outcome, units) }),
-    countRequest: (service) => budgets.noteRequest(service),
+    countRequest: (service) => budgets.recordRequest(service),
     readTable,
     isTableCurrent,
-    mayBegin,
+    mayStart,
     mustClose,
     onOutcome: (outcome) => metrics.countOutcome(outcome),
   })
@@ -70,7 +70,7 @@
 /** Hands requests on to the instances that serve, those of the own data hall first and else always in one order, so that clients see one configuration. */
 export function createRelay ({ settings, deps, clock, log, mesh }: EntryParts & { mesh: InstanceMesh }): InstanceRelay {
   const listTargets = (): RelayTarget[] => {
-    const serving = mesh.listLive().filter(isServing)
+    const serving = mesh.listLinked().filter(isServing)
     const ranked = listRanked(settings.instance, serving, (identity) => identity.instance)
     return listNearFirst(ranked, settings.dataHall)
   }
@@ -82,22 +82,22 @@
   const bounds = settings.bounds.quota
   if (!bounds) return undefined
   if (!policy.pooledQuotas) return new CountedLimits({ clock, network, readTable })
-  return new PooledLimits({ clock, network, standing: describeStanding(mesh), readTable, bounds })
+  return new PooledLimits({ clock, network, membership: describeStanding(mesh), readTable, bounds })
 }
 
 /** What all instances together know of requests under which servers ended. */
 export function createQuarantine ({ settings, deps, clock, log, mesh, network }: Pick<GatewayParts, 'settings' | 'deps' | 'clock' | 'log' | 'mesh' | 'network'>): Quarantine {
-  const standing = { instance: settings.instance, listServing: () => listServing(mesh) }
-  return new Quarantine({ clock, network, standing, log, rule: new LoneRunRule(), store: deps.store })
+  const membership = { instance: settings.instance, listServing: () => listServing(mesh) }
+  return new Quarantine({ clock, network, membership, log, rule: new ExclusiveRunRule(), store: deps.store })
 }
 
 function createBudgets ({ settings, clock, mesh, network }: GatewayParts): RetryBudgets {
   const { retryRatio, retryExtra, retryWindowMs } = settings.bounds
-  const standing = {
-    countInstances: () => mesh.countServed(),
-    readSharingMs: () => mesh.life.readSharingMs(),
-    readLifeMs: () => mesh.life.readLifeMs(),
+  const membership = {
+    countInstances: () => mesh.countServingSeen(),
+    readServingMs: () => mesh.processRun.readServingMs(),
+    readRunMs: () => mesh.processRun.readRunMs(),
     listPeers: () => mesh.listServing().map((identity) => identity.instance),
   }
-  return new RetryBudgets({ clock, network, standing, ratio: retryRatio, extra: retryExtra, windowMs: retryWindowMs })
+  return new RetryBudgets({ clock, network, membership, ratio: retryRatio, fixedAllowance: retryExtra, windowMs: retryWindowMs })
 }
--- a/program/entry/src/createResidency.ts
+++ b/program/entry/src/createResidency.ts
@@ -38,7 +38,7 @@
     holder: life,
     leaseMs,
     orderDelayMs: delayMs,
-    createOperation: randomUUID,
+    createOperationId: randomUUID,
     isFirstStart: settings.isFirstStart,
   })
   const holder = new ResidencyHolder({
@@ -48,17 +48,17 @@
     log,
     policy: parts.policy,
     readTable: parts.readTable,
-    readRight: () => residency.mayOrder ? { holder: settings.instance, fence: lease.fence } : undefined,
-    onChange: (change) => residency.spreadWeights(change),
+    readPermit: () => residency.maySendOrders ? { holder: settings.instance, fence: lease.fence } : undefined,
+    onChange: (change) => residency.announceWeights(change),
   })
   const { policy, readStoreLostMs, readStoreAgeMs } = parts
   const grants = new OutageGrants({
     clock,
     network,
-    listOthers: () => mesh.listOthers(),
+    listOtherInstances: () => mesh.listOthers(),
     readStoreLostMs,
-    readStoreAgeMs,
-    turnMs: settings.bounds.leaseMs,
+    readStoreSilenceMs: readStoreAgeMs,
+    minHandoverGapMs: settings.bounds.leaseMs,
     isEnabled: policy.ordersInOutage,
   })
   const residency: ResidencyService = new ResidencyService({
@@ -69,8 +69,8 @@
     instance: settings.instance,
     lease,
     leaseMs,
-    life,
-    turnMs: settings.bounds.leaseMs,
+    holderName: life,
+    minHandoverGapMs: settings.bounds.leaseMs,
     holder,
     grants,
     listCandidates: () => [mesh.self, ...mesh.listServing()]
--- a/program/entry/src/describeStanding.ts
+++ b/program/entry/src/describeStanding.ts
@@ -1,11 +1,11 @@
 import { isServing, type InstanceMesh } from '@pulleystack/membership.mesh'
-import type { LimitsStanding } from '@pulleystack/routing.limits'
+import type { LimitsMembership } from '@pulleystack/routing.limits'
 
 /** How this instance stands among those that share rates. */
-export function describeStanding (mesh: InstanceMesh): LimitsStanding {
+export function describeStanding (mesh: InstanceMesh): LimitsMembership {
   return {
     instance: mesh.self.instance,
-    countInstances: () => mesh.countKnown(),
+    countInstances: () => mesh.countRegistered(),
     isServing: () => isServing(mesh.self),
     listServing: () => listServing(mesh),
   }
@@ -13,5 +13,5 @@
 
 /** The other instances that serve and have a live link. */
 export function listServing (mesh: InstanceMesh): string[] {
-  return mesh.listLive().filter(isServing).map((identity) => identity.instance)
+  return mesh.listLinked().filter(isServing).map((identity) => identity.instance)
 }
--- a/program/entry/src/startEntry.ts
+++ b/program/entry/src/startEntry.ts
@@ -98,22 +98,22 @@
   const residency = createResidency({
     ...parts,
     orderDelayMs: it.orderDelayMs,
-    readStoreLostMs: () => state.feeds?.backends.lostMs ?? 0,
+    readStoreLostMs: () => state.feeds?.backends.outageMs ?? 0,
     readStoreAgeMs: () => state.feeds?.backends.ageMs ?? Infinity,
-    onChange: () => queue.pump(),
+    onChange: () => queue.assignSlots(),
   })
   const queue: BackendQueue = startQueue({ ...parts, random, residency }, ended.signal)
   const quarantine = createQuarantine(parts)
-  const statements = startStatements({ ...parts, onLimit: () => queue.pump() }, ended.signal)
+  const statements = startStatements({ ...parts, onLimit: () => queue.assignSlots() }, ended.signal)
   const listCopies = (): StoreFeed[] => state.feeds ? Object.values(state.feeds) : []
   const metrics = createMetrics({ ...parts, signal: ended.signal, readWaiting: () => queue.size, readSuspects: () => quarantine.size, listCopies })
   const isTableCurrent = (): boolean => (state.feeds?.config.ageMs ?? Infinity) <= settings.bounds.configLagMs
-  const mayBegin = (deadline: number): boolean => state.stopPlan?.mayBegin(clock.readTime(), deadline) ?? true
+  const mayStart = (deadline: number): boolean => state.stopPlan?.mayStart(clock.readTime(), deadline) ?? true
   const mustClose = (): boolean => state.phase === EntryPhases.LEAVING || state.phase === EntryPhases.ENDING
   const relay = createRelay(parts)
   const limits = createLimits(parts)
   const isReady = (): boolean => state.phase === EntryPhases.READY || (state.phase === EntryPhases.STARTING && relay.isReady)
-  const gateway = createGateway({ ...parts, random, queue, relay, limits, quarantine, statements, residency, metrics, isTableCurrent, mayBegin, mustClose })
+  const gateway = createGateway({ ...parts, random, queue, relay, limits, quarantine, statements, residency, metrics, isTableCurrent, mayStart, mustClose })
   const setPhase = (phase: EntryPhase): void => {
     state.phase = phase
     mesh.announce({ leaving: phase !== EntryPhases.READY })
@@ -125,7 +125,7 @@
   const peerPort = await network.start()
   mesh.self.peerAddress = `${parseAddress(settings.peerAddress).host}:${peerPort}`
   mesh.start(ended.signal)
-  shareLoads({ clock, network, fleet, countRecipients: () => mesh.listServing().length, onChange: () => queue.pump() }, ended.signal)
+  shareLoads({ clock, network, fleet, countRecipients: () => mesh.listServing().length, onChange: () => queue.assignSlots() }, ended.signal)
   residency.start(ended.signal)
   limits?.start(ended.signal)
   quarantine.start(ended.signal)
@@ -136,7 +136,7 @@
   const takeTable = (table: RouteTable): void => {
     state.table = table
     noteReady()
-    queue.pump()
+    queue.assignSlots()
   }
   void waitUntilChosen(clock, mesh, ended.signal).then((isChosen) => {
     if (isChosen) state.feeds = beginServing({ ...parts, random, ended, onTable: takeTable })
@@ -147,8 +147,8 @@
 
 /** Logs each time that the store came back from an older copy, until the signal ends. */
 function recordRestored (store: ObjectStore, log: DecisionLog, signal: AbortSignal): void {
-  const subscription = store.epochs.changes.subscribe(({ epoch, former }) => {
-    if (former !== undefined) log.record(DecisionKinds.STORE_RESTORED, { epoch, former })
+  const subscription = store.epochs.changes.subscribe(({ epoch, previous }) => {
+    if (previous !== undefined) log.record(DecisionKinds.STORE_RESTORED, { epoch, former: previous })
   })
   signal.addEventListener('abort', () => subscription.unsubscribe(), { once: true })
 }
@@ -184,7 +184,7 @@
 /** Resolves with true once this instance is one of those that serve; with false when the signal ends before. */
 async function waitUntilChosen (clock: Clock, mesh: InstanceMesh, signal: AbortSignal): Promise<boolean> {
   while (!signal.aborted) {
-    if (mesh.isChosen()) return true
+    if (mesh.isChosenToServe()) return true
     await clock.wait(ROLE_MS, signal)
   }
   return false
--- a/program/entry/src/startQueue.ts
+++ b/program/entry/src/startQueue.ts
@@ -21,7 +21,7 @@
 /** The places at backend servers, and the rights to send to those that name a limit, which all instances share until the signal ends. */
 export function startQueue (parts: QueueParts, signal: AbortSignal): BackendQueue {
   const { settings, clock, random, log, policy, mesh, network, fleet, residency } = parts
-  const permits = new ServerPermits({ clock, random, network, fleet, standing: describeStanding(mesh), onChange: () => queue.pump() })
+  const permits = new ServerPermits({ clock, random, network, fleet, membership: describeStanding(mesh), onChange: () => queue.assignSlots() })
   const queue = new BackendQueue({ clock, random, fleet, permits, residency, log, dataHall: settings.dataHall, policy })
   permits.start(signal)
   return queue
--- a/program/entry/src/startStatements.ts
+++ b/program/entry/src/startStatements.ts
@@ -15,13 +15,13 @@
 export function startStatements ({ deps, clock, log, fleet, network, mesh, onLimit }: StatementsParts, signal: AbortSignal): ServerReports {
   const statements = new ServerReports({ clock, log, fleet })
   shareDrainingServers({ network, fleet }, signal)
-  const listStandby = (): string[] => isServing(mesh.self) ? mesh.listLive().filter(({ standby }) => standby).map(({ instance }) => instance) : []
+  const listStandby = (): string[] => isServing(mesh.self) ? mesh.listLinked().filter(({ standby }) => standby).map(({ instance }) => instance) : []
   shareLimits({ clock, network, fleet, listStandby, onPeerLimit: (told) => statements.recordPeerLimit(told) }, signal)
   const limits = fleet.limitChanges.subscribe(onLimit)
-  const subscription = deps.weights.statements.subscribe(({ target, call, statement }) => {
+  const subscription = deps.weights.statuses.subscribe(({ target, call, status }) => {
     const backend = fleet.find(target.backendId)
     const source = call === 'order' ? ReportSources.ORDER : ReportSources.REPORT
-    if (backend?.entry.address === target.address) statements.apply(backend, statement, source)
+    if (backend?.entry.address === target.address) statements.apply(backend, status, source)
   })
   signal.addEventListener('abort', () => {
     limits.unsubscribe()
--- a/program/entry/src/watchSources.ts
+++ b/program/entry/src/watchSources.ts
@@ -1,5 +1,5 @@
 import { readRevision, type ObjectStore, type StoredObject } from '@pulleystack/backend.interfaces'
-import { CopyWatch, StoreFeed, type StoreFeedOptions } from '@pulleystack/config.feed'
+import { StalenessMonitor, StoreFeed, type StoreFeedOptions } from '@pulleystack/config.feed'
 import { RouteTable } from '@pulleystack/config.routes'
 import type { Clock, RandomSource } from '@pulleystack/core.clock'
 import type { PeerNetwork } from '@pulleystack/membership.peers'
@@ -60,7 +60,7 @@
   })
   opts.signal.addEventListener('abort', () => noteChange.unsubscribe(), { once: true })
   const unreadable = new UnreadableEntries(opts.clock, log)
-  const directory = new BackendDirectory({ clock: opts.clock, fleet, readMsSinceRecovery: () => feed.settledMs })
+  const directory = new BackendDirectory({ clock: opts.clock, fleet, readMsSinceRecovery: () => feed.msSinceRecovery })
   const tellRevived = shareStaleServers({ network: opts.network, directory }, opts.signal)
   const take = (object: StoredObject): void => {
     const entry = sources.readBackend(object)
@@ -94,6 +94,6 @@
   const { clock, random, store, network, log, instance, listCandidates } = opts
   const feed = new StoreFeed({ clock, random, store, network, log, prefix, instance, listCandidates, ...take })
   feed.start(opts.signal)
-  new CopyWatch({ clock, log, feed, prefix }).start(opts.signal)
+  new StalenessMonitor({ clock, log, feed, prefix }).start(opts.signal)
   return feed
 }
--- a/program/entry/test/EntryMetrics.test.ts
+++ b/program/entry/test/EntryMetrics.test.ts
@@ -9,7 +9,7 @@
   const metrics = new EntryMetrics({
     epochs,
     fleet: { listAll: () => [] },
-    mesh: { listLive: () => [] },
+    mesh: { listLinked: () => [] },
     network: state,
     readConfigVersion: () => 7,
     readWaiting: () => 0,
@@ -39,7 +39,7 @@
   })
 
   it('show the epoch of the store, and how often it came back from an older copy', async () => {
-    for (const epoch of [4, 5, 5, 7]) epochs.note(epoch)
+    for (const epoch of [4, 5, 5, 7]) epochs.record(epoch)
     const text = await metrics.render()
     assert.match(text, /^pulleystack_store_epoch 7$/m)
     assert.match(text, /^pulleystack_store_restores_total 2$/m)
--- a/program/entry/test/StopPlan.test.ts
+++ b/program/entry/test/StopPlan.test.ts
@@ -9,17 +9,17 @@
 
   describe('for work that may outlast the grace time', () => {
     it('begins it while clients come with lists that were told before', () => {
-      assert.equal(plan.mayBegin(STARTED_AT + 2_700, STARTED_AT + 17_700), true)
+      assert.equal(plan.mayStart(STARTED_AT + 2_700, STARTED_AT + 17_700), true)
     })
 
     it('refuses it later, since it would be cut', () => {
-      assert.equal(plan.mayBegin(STARTED_AT + 3_100, STARTED_AT + 18_100), false)
+      assert.equal(plan.mayStart(STARTED_AT + 3_100, STARTED_AT + 18_100), false)
     })
   })
 
   it('begins short work as long as old lists may be used', () => {
-    assert.equal(plan.mayBegin(STARTED_AT + 4_400, STARTED_AT + 5_400), true)
-    assert.equal(plan.mayBegin(STARTED_AT + 4_600, STARTED_AT + 5_600), false)
+    assert.equal(plan.mayStart(STARTED_AT + 4_400, STARTED_AT + 5_400), true)
+    assert.equal(plan.mayStart(STARTED_AT + 4_600, STARTED_AT + 5_600), false)
   })
 
   it('ends before the grace time does', () => {
--- a/program/instance/src/createControl.ts
+++ b/program/instance/src/createControl.ts
@@ -63,7 +63,7 @@
         ...core,
         engines: deps.engines,
         table: routing.table,
-        listInterested: (server, items) => listInterested(core, listSubset, placement, server, items),
+        listSubscribers: (server, items) => listInterested(core, listSubset, placement, server, items),
         reportWaitMs: settings.timings.reportWaitMs,
       }, signal)
       placement = startPlacement({
--- a/program/instance/src/createGateways.ts
+++ b/program/instance/src/createGateways.ts
@@ -28,7 +28,7 @@
     ...core,
     ...routing,
     meter: control.meter,
-    rates: new RateLimiter(),
+    rateLimiter: new RateLimiter(),
     maxBodyBytes: settings.limits.bodyBytes,
     lifetimeSeconds: settings.directory.lifetimeSeconds,
     leastInstances: settings.directory.leastInstances,
@@ -76,7 +76,7 @@
 ): Promise<Explanation> {
   const { partner, caller, target } = request
   const here = explainHere(partner, caller, target)
-  const subset = callers.listSubset(partner, here.service)
+  const subset = callers.listServingInstances(partner, here.service)
   const first = subset[0]
   if (!first || subset.some((member) => member.instance === core.settings.instance)) return here
   const answer = await core.network.call(first.instance, EXPLAIN, request, EXPLAIN_TIMEOUT_MS)
