--- a/program/instance/src/createRouted.ts
+++ b/program/instance/src/createRouted.ts
@@ -6,15 +6,15 @@
 import { PulleystackError, convertToError } from '@pulleystack/core.errors'
 import { explainRoute, type RouteExplanation } from '@pulleystack/gateway.admin'
 import { findAllowedService } from '@pulleystack/gateway.callers'
-import { parseBearer, sendError } from '@pulleystack/gateway.http'
-import { BackendQueue, RoutedGateway, StreamPace, SuspectGate } from '@pulleystack/gateway.routed'
+import { parseBearerToken, sendError } from '@pulleystack/gateway.http'
+import { BackendQueue, RoutedGateway, StreamFlusher, SuspectGate } from '@pulleystack/gateway.routed'
 import { hashAccessKey } from '@pulleystack/core.hashing'
-import { ResidencyClient, type NeedAnswer } from '@pulleystack/placement.residency'
+import { ResidencyClient, type WeightsAnswer } from '@pulleystack/placement.residency'
 import { BackendFleet, ServerReports, type BackendEntry } from '@pulleystack/routing.fleet'
 import { BackendAgent, ServerProbe } from '@pulleystack/routing.forward'
-import { LoneRunRule, Quarantine } from '@pulleystack/routing.quarantine'
+import { ExclusiveRunRule, Quarantine } from '@pulleystack/routing.quarantine'
 import { RetryBudgets } from '@pulleystack/routing.retries'
-import { SilentDecisionLog } from '@pulleystack/timeline.decisions'
+import { NullDecisionLog } from '@pulleystack/timeline.decisions'
 import type { Routing } from './createRouting.js'
 import type { Core } from './startInstance.js'
 
@@ -42,7 +42,7 @@
 export function createRouted (core: Core, routing: Routing): Routed {
   const { clock, random, index, replica, settings } = core
   const fleet = new BackendFleet()
-  const log = new SilentDecisionLog()
+  const log = new NullDecisionLog()
   const residency = new NoResidency()
   const queue = new BackendQueue({ clock, random, fleet, residency, log, policy: DEFAULT_POLICY, dataHall: settings.dataHall })
   const state: { table: RouteTable } = { table: new RouteTable(buildConfig(core)) }
@@ -63,13 +63,13 @@
     queue,
     fleet,
     reports: new ServerReports({ clock, log, fleet }),
-    pace: new StreamPace(clock),
+    flusher: new StreamFlusher(clock),
     residency,
     findBudget: (service) => budgets.find(service),
-    countRequest: (service) => budgets.noteRequest(service),
+    countRequest: (service) => budgets.recordRequest(service),
     readTable: () => state.table,
     isTableCurrent: () => true,
-    mayBegin: () => true,
+    mayStart: () => true,
     mustClose: () => core.view.self.leaving,
     onOutcome: ({ service, status, code, ms }) => core.metrics.countRequest({ partner: service.split('/', 1)[0] as string, route: 'routed', status, code, ms }),
   })
@@ -99,39 +99,39 @@
 
 /** Budgets for further attempts; here the bound is one of each life of an instance. */
 function createBudgets ({ clock, network, view }: Core): RetryBudgets {
-  const standing = {
+  const membership = {
     countInstances: () => view.listEligible().length,
-    readSharingMs: () => Infinity,
-    readLifeMs: () => Infinity,
+    readServingMs: () => Infinity,
+    readRunMs: () => Infinity,
     listPeers: () => [],
   }
-  return new RetryBudgets({ clock, network, standing, ratio: RETRY_RATIO, extra: RETRY_EXTRA, windowMs: RETRY_WINDOW_MS })
+  return new RetryBudgets({ clock, network, membership, ratio: RETRY_RATIO, fixedAllowance: RETRY_EXTRA, windowMs: RETRY_WINDOW_MS })
 }
 
 /** Requests under which servers ended, as all instances know them; after all of them have ended at once nobody does. */
 function createQuarantine ({ clock, network, view, ended }: Core): Quarantine {
   const { instance } = view.self
   const listServing = (): string[] => view.listEligible().map((identity) => identity.instance).filter((other) => other !== instance)
-  const quarantine = new Quarantine({ clock, network, standing: { instance, listServing }, rule: new LoneRunRule() })
+  const quarantine = new Quarantine({ clock, network, membership: { instance, listServing }, rule: new ExclusiveRunRule() })
   quarantine.start(ended.signal)
   return quarantine
 }
 
 /** Plain services have no models to place. */
 class NoResidency extends ResidencyClient {
-  override async requestWeights (): Promise<NeedAnswer> {
+  override async requestWeights (): Promise<WeightsAnswer> {
     return { coming: false, reason: 'routes lead to plain services' }
   }
 
-  override noteDemand (): void {
+  override recordRequest (): void {
     // Nothing is placed for plain services.
   }
 
-  override noteInHand (): () => void {
+  override recordInFlight (): () => void {
     return () => undefined
   }
 
-  override noteEnded (): void {
+  override recordEnded (): void {
     // Nothing is placed for plain services.
   }
 }
@@ -187,7 +187,7 @@
 
 /** A caller's key opens a route when its selectors let the caller into each of the route's services. */
 function authorize (index: Core['index'], request: http.IncomingMessage, route: Route): void {
-  const key = parseBearer(request.headers)
+  const key = parseBearerToken(request.headers)
   const caller = key === undefined ? undefined : index.findCaller(hashAccessKey(key))
   if (!caller) throw new PulleystackError('ACCESS_KEY_WRONG', 'The access key is missing or not known', { hint: 'Send it as "Authorization: Bearer KEY".' })
   for (const target of route.targets) {
--- a/program/instance/src/createRouting.ts
+++ b/program/instance/src/createRouting.ts
@@ -1,6 +1,6 @@
 import { Kinds } from '@pulleystack/config.objects'
 import { ClaimClient } from '@pulleystack/routing.claims'
-import { Budgets, EligibleRunners, GenerationDispatcher, Places, ServiceDispatcher, type Place } from '@pulleystack/routing.dispatch'
+import { ServiceRetryBudgets, EligibleRunners, GenerationDispatcher, SlotAllocator, ServiceDispatcher, type Slot } from '@pulleystack/routing.dispatch'
 import { CostPicker } from '@pulleystack/routing.picker'
 import { WorkQueue } from '@pulleystack/routing.queue'
 import { RunnerTable } from '@pulleystack/routing.runners'
@@ -12,8 +12,8 @@
 export interface Routing {
   table: RunnerTable
   eligible: EligibleRunners
-  queue: WorkQueue<Place>
-  places: Places
+  queue: WorkQueue<Slot>
+  slots: SlotAllocator
   generations: GenerationDispatcher
   services: ServiceDispatcher
   claims: ClaimClient
@@ -24,24 +24,24 @@
   const table = new RunnerTable()
   const eligible = new EligibleRunners({ ...core, table })
   const getWeight = (partner: string): number => core.index.findObject(Kinds.QUOTA, partner, 'pool')?.spec.guaranteedShare ?? DEFAULT_WEIGHT
-  const queue = new WorkQueue<Place>({ clock: core.clock, maxPerPartner: settings.limits.queued, getWeight })
-  const places = new Places({ ...core, eligible, queue, picker: new CostPicker(core.random) })
-  const shared = { ...core, places, budgets: new Budgets() }
-  table.changes.subscribe(() => queue.pump())
+  const queue = new WorkQueue<Slot>({ clock: core.clock, maxPerPartner: settings.limits.queued, getWeight })
+  const slots = new SlotAllocator({ ...core, eligible, queue, picker: new CostPicker(core.random) })
+  const shared = { ...core, slots, budgets: new ServiceRetryBudgets() }
+  table.changes.subscribe(() => queue.serveWaiting())
   const claims = new ClaimClient({
     ...core,
     store: deps.store,
     shards: settings.claims.shards,
-    keepMs: settings.claims.keepSeconds * 1000,
+    retentionMs: settings.claims.keepSeconds * 1000,
     writesPerSecond: settings.claims.writesPerSecond,
-    createOperation: core.createId,
+    createOperationId: core.createId,
   })
-  core.view.memberChanges.subscribe(() => claims.review())
+  core.view.memberChanges.subscribe(() => claims.unloadUnowned())
   return {
     table,
     eligible,
     queue,
-    places,
+    slots,
     claims,
     generations: new GenerationDispatcher({ ...shared, engines: deps.engines }),
     services: new ServiceDispatcher({ ...shared, services: deps.services }),
--- a/program/instance/src/startInstance.ts
+++ b/program/instance/src/startInstance.ts
@@ -11,7 +11,7 @@
 import { MembershipView, startMembership } from '@pulleystack/membership.view'
 import type { EngineClient, InstanceList, ObjectStore, ServiceClient, WeightStore } from '@pulleystack/backend.interfaces'
 import { EventRing } from '@pulleystack/timeline.events'
-import { answerTimeline } from '@pulleystack/timeline.merge'
+import { handleTimelineCalls } from '@pulleystack/timeline.merge'
 import { createControl, type Control } from './createControl.js'
 import { createGateways } from './createGateways.js'
 import { createRouting } from './createRouting.js'
@@ -80,10 +80,10 @@
   const gateways = createGateways(core, routing, control)
   const listener = await listen(core, gateways)
   Object.assign(core.view.self, { address: listener.address, peerAddress })
-  answerTimeline(core.network, core.ring)
+  handleTimelineCalls(core.network, core.ring)
   await startMembership({ ...core, list: deps.list, listPollMs: settings.timings.listPollMs }, core.ended.signal)
   startConfigSync({ ...core, store: deps.store, digestMs: settings.timings.digestMs }, core.ended.signal)
-  control.start(core.ended.signal, (partner, service) => gateways.callers.listSubset(partner, service))
+  control.start(core.ended.signal, (partner, service) => gateways.callers.listServingInstances(partner, service))
   core.logger.info({ address: listener.address, peerAddress }, 'instance listens')
   return createHandle(core, { control, listener, peerAddress, inFlight: () => gateways.callers.inFlight + gateways.routed.gateway.inFlight })
 }
--- a/routing/admission/src/RecentMean.ts
+++ b/routing/admission/src/RecentMean.ts
@@ -29,7 +29,7 @@
   }
 
   /** Returns a bound that nearly all samples stay below; undefined before the first sample. */
-  readHigh (name: string): number | undefined {
+  readUpperBound (name: string): number | undefined {
     const moments = this.moments.get(name)
     return moments && moments.mean + UPPER_BOUND_DEVIATIONS * moments.deviation
   }
--- a/routing/admission/src/FirstTries.ts
+++ b/routing/admission/src/RetryEstimator.ts
@@ -15,13 +15,13 @@
  * Estimates how long ago clients first tried a request. A client reduces its timeout by the time spent on earlier attempts, so the difference to the
  * route's usual timeout is the time since the first attempt, whichever instance rejected it.
  */
-export class FirstTries {
+export class RetryEstimator {
   private readonly routes = new Map<string, RouteTimeouts>()
 
   constructor (private readonly clock: Clock) {}
 
   /** Records the timeout of a request; returns the milliseconds since its first attempt, 0 for a first attempt. */
-  noteTry (route: string, timeoutMs: number): number {
+  estimateElapsedMs (route: string, timeoutMs: number): number {
     const timeouts = this.updateWindow(route)
     timeouts.longestTimeoutMs = Math.max(timeouts.longestTimeoutMs, timeoutMs)
     const usualMs = Math.max(timeouts.longestTimeoutMs, timeouts.previousLongestMs)
--- a/routing/admission/src/compareUrgency.ts
+++ b/routing/admission/src/compareUrgency.ts
@@ -5,11 +5,11 @@
   /** Latest time to get a slot and still meet the latency target, counted from the client's first attempt. */
   dueAt: number
   /** Latest time at which a slot is of use: after it the client disconnects or the deadline passes before the response is complete. */
-  latestAt: number
+  expiresAt: number
 }
 
 /** Whether a slot acquired now would still meet the latency target. */
-export function isInTime (candidate: Candidate, now: number): boolean {
+export function isWithinTarget (candidate: Candidate, now: number): boolean {
   return now <= candidate.dueAt
 }
 
@@ -18,7 +18,7 @@
  * since serving strictly by due time would make all of them late under overload. Overdue requests follow, the earliest to expire first.
  */
 export function compareUrgency (a: Candidate, b: Candidate, now: number): number {
-  const overdueOrder = Number(!isInTime(a, now)) - Number(!isInTime(b, now))
+  const overdueOrder = Number(!isWithinTarget(a, now)) - Number(!isWithinTarget(b, now))
   if (a.priority !== b.priority || overdueOrder !== 0) return a.priority - b.priority || overdueOrder
-  return isInTime(a, now) ? a.dueAt - b.dueAt : a.latestAt - b.latestAt
+  return isWithinTarget(a, now) ? a.dueAt - b.dueAt : a.expiresAt - b.expiresAt
 }
--- a/routing/admission/src/judgeWait.ts
+++ b/routing/admission/src/judgeWait.ts
@@ -1,4 +1,4 @@
-import { isInTime, type Candidate } from './compareUrgency.js'
+import { isWithinTarget, type Candidate } from './compareUrgency.js'
 import type { WaitEstimate } from './estimateWaits.js'
 
 /** Whether a request keeps waiting; if not, after how many milliseconds a slot is expected. */
@@ -11,7 +11,7 @@
  * only costs the client more.
  */
 export function judgeWait (candidate: Candidate, estimate: WaitEstimate, now: number): WaitDecision {
-  const meetsTarget = isInTime(candidate, now) && now + estimate.inTimeMs <= candidate.dueAt
-  if (meetsTarget || now + estimate.lateMs <= candidate.latestAt) return { mayWait: true }
-  return { mayWait: false, expectedMs: estimate.lateMs }
+  const meetsTarget = isWithinTarget(candidate, now) && now + estimate.withinTargetMs <= candidate.dueAt
+  if (meetsTarget || now + estimate.overdueMs <= candidate.expiresAt) return { mayWait: true }
+  return { mayWait: false, expectedMs: estimate.overdueMs }
 }
--- a/routing/admission/test/admission.test.ts
+++ b/routing/admission/test/admission.test.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict'
 import { beforeEach, describe, it } from 'node:test'
 import { ManualClock } from '@pulleystack/core.clock'
-import { FirstTries, RecentMean, RecentRate, compareUrgency, estimateWaits, judgeWait, type Candidate, type QueueFacts } from '../src/index.js'
+import { RetryEstimator, RecentMean, RecentRate, compareUrgency, estimateWaits, judgeWait, type Candidate, type QueueState } from '../src/index.js'
 
 /** Ten slots become free per second. */
-const CALM: QueueFacts = { heldMs: 1_000, running: 10, ownLeftMs: [], arrivalsPerSecond: 2, ahead: 0, waiting: 1, waitingElsewhere: 0 }
+const CALM: QueueState = { heldMs: 1_000, running: 10, ownRemainingMs: [], arrivalsPerSecond: 2, ahead: 0, waiting: 1, waitingAtPeers: 0 }
 
 function createCandidate (changes: Partial<Candidate> = {}): Candidate {
-  return { priority: 0, dueAt: 800, latestAt: 2_000, ...changes }
+  return { priority: 0, dueAt: 800, expiresAt: 2_000, ...changes }
 }
 
 function nameInOrder (candidates: Record<string, Candidate>, now: number): string[] {
@@ -26,49 +26,49 @@
   })
 
   it('puts the overdue request that expires first before other overdue ones', () => {
-    assert.deepEqual(nameInOrder({ patient: createCandidate({ dueAt: 0, latestAt: 9_000 }), leaving: createCandidate({ dueAt: 500 }) }, 1_000), ['leaving', 'patient'])
+    assert.deepEqual(nameInOrder({ patient: createCandidate({ dueAt: 0, expiresAt: 9_000 }), leaving: createCandidate({ dueAt: 500 }) }, 1_000), ['leaving', 'patient'])
   })
 })
 
 describe('expected wait for a slot', () => {
   it('grows with the requests ahead and with those waiting at other instances', () => {
-    assert.equal(estimateWaits(CALM).lateMs, 125)
-    assert.equal(estimateWaits({ ...CALM, ahead: 4, waiting: 5 }).lateMs, 625)
-    assert.equal(estimateWaits({ ...CALM, arrivalsPerSecond: 0, waiting: 2, waitingElsewhere: 6 }).lateMs, 400)
+    assert.equal(estimateWaits(CALM).overdueMs, 125)
+    assert.equal(estimateWaits({ ...CALM, ahead: 4, waiting: 5 }).overdueMs, 625)
+    assert.equal(estimateWaits({ ...CALM, arrivalsPerSecond: 0, waiting: 2, waitingAtPeers: 6 }).overdueMs, 400)
   })
 
   it('allows for random slot releases if the latency target must be met', () => {
-    assert.equal(estimateWaits(CALM).inTimeMs, 200)
-    assert.equal(estimateWaits({ ...CALM, ahead: 8, waiting: 9 }).inTimeMs, 1_200)
+    assert.equal(estimateWaits(CALM).withinTargetMs, 200)
+    assert.equal(estimateWaits({ ...CALM, ahead: 8, waiting: 9 }).withinTargetMs, 1_200)
   })
 
   it('follows the remaining times of own requests if all began at once', () => {
-    const allJustBegun = { ...CALM, arrivalsPerSecond: 0, ownLeftMs: [900, 900, 900, 950, 1_000] }
-    assert.equal(estimateWaits(allJustBegun).lateMs, 900)
-    assert.equal(estimateWaits({ ...allJustBegun, ahead: 8, waiting: 9 }).lateMs, 1_000)
-    assert.equal(estimateWaits({ ...allJustBegun, ahead: 10, waiting: 11 }).lateMs, 1_900)
+    const allJustBegun = { ...CALM, arrivalsPerSecond: 0, ownRemainingMs: [900, 900, 900, 950, 1_000] }
+    assert.equal(estimateWaits(allJustBegun).overdueMs, 900)
+    assert.equal(estimateWaits({ ...allJustBegun, ahead: 8, waiting: 9 }).overdueMs, 1_000)
+    assert.equal(estimateWaits({ ...allJustBegun, ahead: 10, waiting: 11 }).overdueMs, 1_900)
   })
 
   it('is infinite for overdue requests while new arrivals take all slots', () => {
-    assert.equal(estimateWaits({ ...CALM, arrivalsPerSecond: 10 }).lateMs, Infinity)
-    assert.equal(estimateWaits({ ...CALM, arrivalsPerSecond: 5 }).lateMs, 200)
-    assert.equal(estimateWaits({ ...CALM, running: 0 }).inTimeMs, Infinity)
+    assert.equal(estimateWaits({ ...CALM, arrivalsPerSecond: 10 }).overdueMs, Infinity)
+    assert.equal(estimateWaits({ ...CALM, arrivalsPerSecond: 5 }).overdueMs, 200)
+    assert.equal(estimateWaits({ ...CALM, running: 0 }).withinTargetMs, Infinity)
   })
 })
 
 describe('a request that finds no free slot', () => {
   it('waits if it will meet its latency target, regardless of the load behind it', () => {
-    assert.deepEqual(judgeWait(createCandidate(), { inTimeMs: 700, lateMs: Infinity }, 0), { mayWait: true })
+    assert.deepEqual(judgeWait(createCandidate(), { withinTargetMs: 700, overdueMs: Infinity }, 0), { mayWait: true })
   })
 
   it('waits if it will be served overdue, but before its client disconnects', () => {
-    assert.deepEqual(judgeWait(createCandidate(), { inTimeMs: 1_200, lateMs: 1_900 }, 0), { mayWait: true })
-    assert.deepEqual(judgeWait(createCandidate(), { inTimeMs: 100, lateMs: 900 }, 1_000), { mayWait: true })
+    assert.deepEqual(judgeWait(createCandidate(), { withinTargetMs: 1_200, overdueMs: 1_900 }, 0), { mayWait: true })
+    assert.deepEqual(judgeWait(createCandidate(), { withinTargetMs: 100, overdueMs: 900 }, 1_000), { mayWait: true })
   })
 
   it('is rejected as soon as it is known that it will not be served', () => {
-    assert.deepEqual(judgeWait(createCandidate(), { inTimeMs: 1_200, lateMs: 2_500 }, 0), { mayWait: false, expectedMs: 2_500 })
-    assert.deepEqual(judgeWait(createCandidate(), { inTimeMs: 100, lateMs: 1_100 }, 1_000), { mayWait: false, expectedMs: 1_100 })
+    assert.deepEqual(judgeWait(createCandidate(), { withinTargetMs: 1_200, overdueMs: 2_500 }, 0), { mayWait: false, expectedMs: 2_500 })
+    assert.deepEqual(judgeWait(createCandidate(), { withinTargetMs: 100, overdueMs: 1_100 }, 1_000), { mayWait: false, expectedMs: 1_100 })
   })
 })
 
@@ -101,20 +101,20 @@
   })
 
   it('give the time since a client\'s first attempt from the reduction of its timeout', () => {
-    const tries = new FirstTries(clock)
-    assert.equal(tries.noteTry('r', 12_000), 0)
-    assert.equal(tries.noteTry('r', 12_000), 0)
-    assert.equal(tries.noteTry('r', 11_200), 800)
-    assert.equal(tries.noteTry('other', 11_200), 0)
+    const tries = new RetryEstimator(clock)
+    assert.equal(tries.estimateElapsedMs('r', 12_000), 0)
+    assert.equal(tries.estimateElapsedMs('r', 12_000), 0)
+    assert.equal(tries.estimateElapsedMs('r', 11_200), 800)
+    assert.equal(tries.estimateElapsedMs('other', 11_200), 0)
   })
 
   it('do not mistake requests for retries when all clients use a shorter timeout', async () => {
-    const tries = new FirstTries(clock)
-    tries.noteTry('r', 12_000)
+    const tries = new RetryEstimator(clock)
+    tries.estimateElapsedMs('r', 12_000)
     for (let second = 0; second < 25; second++) {
-      tries.noteTry('r', 6_000)
+      tries.estimateElapsedMs('r', 6_000)
       await clock.advance(1_000)
     }
-    assert.equal(tries.noteTry('r', 6_000), 0)
+    assert.equal(tries.estimateElapsedMs('r', 6_000), 0)
   })
 })
--- a/routing/claims/src/ClaimClient.ts
+++ b/routing/claims/src/ClaimClient.ts
@@ -4,7 +4,7 @@
 import { defineChannel, type PeerNetwork } from '@pulleystack/membership.peers'
 import type { MembershipView } from '@pulleystack/membership.view'
 import type { ObjectStore } from '@pulleystack/backend.interfaces'
-import type { ClaimDecision, ClaimEntry, ClaimRequest, KeptOutcome } from './ClaimEntry.js'
+import type { ClaimDecision, ClaimEntry, ClaimRequest, StoredOutcome } from './ClaimEntry.js'
 import { ClaimShard } from './ClaimShard.js'
 
 const CLAIM = defineChannel<{ shard: number, request: ClaimRequest, leftMs: number }, ClaimDecision>('claims.claim')
@@ -20,9 +20,9 @@
   network: PeerNetwork
   store: ObjectStore
   shards: number
-  keepMs: number
+  retentionMs: number
   writesPerSecond: number
-  createOperation: () => string
+  createOperationId: () => string
 }
 
 /** Claims keys for this instance's requests through the owner of each shard, and serves the shards that this instance owns. */
@@ -45,7 +45,7 @@
   }
 
   /** Unloads the shards that other instances own now. */
-  review (): void {
+  unloadUnowned (): void {
     for (const [shard, claimShard] of this.shards) {
       if (!this.opts.view.isOwner(`claims/${shard}`)) claimShard.unload()
     }
@@ -76,7 +76,7 @@
   }
 
   /** Stores a request's response for its repeats, without the body if that is too large. */
-  keepOutcome (request: ClaimRequest, outcome: KeptOutcome): void {
+  storeOutcome (request: ClaimRequest, outcome: StoredOutcome): void {
     const tooLarge = (outcome.body?.length ?? 0) > MAX_STORED_BODY_BYTES
     const stored = tooLarge ? { status: outcome.status, contentType: outcome.contentType } : outcome
     this.add(request, { kind: 'outcome', key: request.key, request: request.request, outcome: stored, at: this.opts.clock.readWallTime() })
@@ -107,9 +107,9 @@
   private findShard (shard: number): ClaimShard {
     const existing = this.shards.get(shard)
     if (existing) return existing
-    const { clock, store, keepMs, createOperation } = this.opts
+    const { clock, store, retentionMs, createOperationId } = this.opts
     const commitsPerSecond = this.opts.writesPerSecond / this.opts.shards
-    const created = new ClaimShard({ clock, store, shard, keepMs, createOperation, commitsPerSecond })
+    const created = new ClaimShard({ clock, store, shard, retentionMs, createOperationId, commitsPerSecond })
     this.shards.set(shard, created)
     return created
   }
--- a/routing/claims/src/ClaimEntry.ts
+++ b/routing/claims/src/ClaimEntry.ts
@@ -1,5 +1,5 @@
 /** The response stored for repeats of a request. */
-export interface KeptOutcome {
+export interface StoredOutcome {
   status: number
   contentType: string
   /** Undefined when it was too large to store. */
@@ -9,7 +9,7 @@
 /** One entry of a claim log; the entries of a key apply in order. Times are wall times in milliseconds. */
 export type ClaimEntry =
   | { kind: 'claim', key: string, hash: string, request: string, instance: string, at: number }
-  | { kind: 'outcome', key: string, request: string, outcome: KeptOutcome, at: number }
+  | { kind: 'outcome', key: string, request: string, outcome: StoredOutcome, at: number }
   | { kind: 'release', key: string, request: string, at: number }
 
 /** Request for a key, made before a non-repeatable request is sent. */
@@ -23,7 +23,7 @@
 
 export type ClaimDecision =
   | { kind: 'granted' }
-  | { kind: 'repeat', instance: string, request: string, outcome?: KeptOutcome }
+  | { kind: 'repeat', instance: string, request: string, outcome?: StoredOutcome }
   | { kind: 'mismatch' }
 
 /** Current state of one claimed key. */
@@ -32,5 +32,5 @@
   request: string
   instance: string
   at: number
-  outcome?: KeptOutcome
+  outcome?: StoredOutcome
 }
--- a/routing/claims/src/ClaimLog.ts
+++ b/routing/claims/src/ClaimLog.ts
@@ -10,9 +10,9 @@
   store: ObjectStore
   shard: number
   /** Milliseconds after which entries are deleted. */
-  keepMs: number
+  retentionMs: number
   /** Creates the id by which a write with a lost response is recognized when it is read back. */
-  createOperation: () => string
+  createOperationId: () => string
 }
 
 interface Segment {
@@ -63,7 +63,7 @@
     this.open = segments.pop() ?? createSegment(1)
     this.closed = segments.map(({ seq, version, entries }) => ({ seq, version, newestAt: findNewestTime(entries) }))
     this.checkedAt = this.opts.clock.readTime()
-    this.index.dropBefore(this.opts.clock.readWallTime() - this.opts.keepMs)
+    this.index.dropBefore(this.opts.clock.readWallTime() - this.opts.retentionMs)
     return ok(undefined)
   }
 
@@ -86,7 +86,7 @@
     const current = this.open
     if (!current) return err(new PulleystackError('STORE_CONFLICT', 'The claim log is not loaded'))
     const target = current.bytes >= FULL_SEGMENT_BYTES ? createSegment(current.seq + 1) : current
-    const operation = this.opts.createOperation()
+    const operation = this.opts.createOperationId()
     const next = extendSegment(target, entries, operation)
     const written = await this.write(next, target.version)
     if (written.isErr()) {
@@ -102,7 +102,7 @@
 
   /** Deletes expired claims from memory, and at most one closed segment of which all entries have expired. */
   async dropExpired (): Promise<void> {
-    const cutoff = this.opts.clock.readWallTime() - this.opts.keepMs
+    const cutoff = this.opts.clock.readWallTime() - this.opts.retentionMs
     this.index.dropBefore(cutoff)
     const oldest = this.closed[0]
     if (!oldest || oldest.newestAt >= cutoff) return
--- a/routing/claims/src/ClaimShard.ts
+++ b/routing/claims/src/ClaimShard.ts
@@ -8,10 +8,10 @@
   clock: Clock
   store: ObjectStore
   shard: number
-  keepMs: number
+  retentionMs: number
   /** Maximum sustained commits per second; a short burst is not delayed. */
   commitsPerSecond: number
-  createOperation: () => string
+  createOperationId: () => string
 }
 
 interface PendingClaim {
--- a/routing/dispatch/src/DispatchOptions.ts
+++ b/routing/dispatch/src/DispatchOptions.ts
@@ -1,21 +1,21 @@
 import type { ServiceClass } from '@pulleystack/config.objects'
 import type { Clock, RandomSource } from '@pulleystack/core.clock'
 import type { EventRing } from '@pulleystack/timeline.events'
-import type { Budgets } from './Budgets.js'
-import type { Places } from './Places.js'
+import type { ServiceRetryBudgets } from './ServiceRetryBudgets.js'
+import type { SlotAllocator } from './SlotAllocator.js'
 
 /** Options common to all dispatchers. */
 export interface DispatchOptions {
   clock: Clock
   random: RandomSource
   ring: EventRing
-  places: Places
-  budgets: Budgets
+  slots: SlotAllocator
+  budgets: ServiceRetryBudgets
   createId: () => string
 }
 
 /** Parameters common to all requests. */
-export interface RequestWork {
+export interface DispatchRequest {
   request: string
   partner: string
   service: string
--- a/routing/dispatch/src/GenerationDispatcher.ts
+++ b/routing/dispatch/src/GenerationDispatcher.ts
@@ -1,17 +1,17 @@
-import { getWorkClass } from '@pulleystack/config.objects'
+import { getPriority } from '@pulleystack/config.objects'
 import { PulleystackError, Ran, convertToError } from '@pulleystack/core.errors'
 import type { EngineClient, GenerateCall, GeneratedToken, GenerateEnd, TokenSink } from '@pulleystack/backend.interfaces'
 import { hashPrefixBlocks } from '@pulleystack/routing.runners'
 import { EventKinds } from '@pulleystack/timeline.events'
 import { allowRetry, createAttemptSignal, createProgress, explainFailure, recordFailure, type Progress } from './attempts.js'
-import type { DispatchOptions, RequestWork } from './DispatchOptions.js'
-import type { Place } from './Places.js'
+import type { DispatchOptions, DispatchRequest } from './DispatchOptions.js'
+import type { Slot } from './SlotAllocator.js'
 import { StallWatch } from './StallWatch.js'
 
 const MAX_RESUMES = 2
 const DEFAULT_STALL_MS = 5_000
 
-export interface GenerationWork extends RequestWork {
+export interface GenerationRequest extends DispatchRequest {
   /** Items that may serve the request, in order of preference. */
   items: readonly string[]
   adapter?: string
@@ -27,7 +27,7 @@
 
 interface Attempt {
   id: string
-  slot: Place
+  slot: Slot
   progress: GenerationProgress
   /** Aborted at the deadline or when the caller disconnects. */
   signal: AbortSignal
@@ -41,10 +41,10 @@
   constructor (private readonly opts: DispatchOptions & { engines: EngineClient, stallMs?: number }) {}
 
   /** Passes every token to the sink and resolves at the end of the output; rejects when it cannot be completed. */
-  async run (work: GenerationWork, sink: TokenSink): Promise<GenerateEnd> {
+  async run (work: GenerationRequest, sink: TokenSink): Promise<GenerateEnd> {
     const progress: GenerationProgress = { ...createProgress(), tokens: 0, text: '' }
     const blocks = hashPrefixBlocks(work.items[0] ?? '', work.prompt)
-    this.opts.budgets.find(work.partner, work.service).noteRequest()
+    this.opts.budgets.find(work.partner, work.service).recordRequest()
     for (;;) {
       const slot = await this.acquire(work, progress, blocks)
       progress.attempts++
@@ -54,10 +54,10 @@
     }
   }
 
-  private async acquire (work: GenerationWork, progress: GenerationProgress, blocks: number[]): Promise<Place> {
+  private async acquire (work: GenerationRequest, progress: GenerationProgress, blocks: number[]): Promise<Slot> {
     try {
       const tokens = work.maxTokens - progress.tokens
-      return await this.opts.places.acquire({ ...work, blocks, tokens, excluded: progress.excluded })
+      return await this.opts.slots.acquire({ ...work, blocks, tokens, excluded: progress.excluded })
     } catch (thrown) {
       const error = convertToError(thrown)
       if (!progress.outcomeUnknown && !progress.hasOutput) throw error
@@ -65,7 +65,7 @@
     }
   }
 
-  private async runAttempt (work: GenerationWork, progress: GenerationProgress, slot: Place, sink: TokenSink): Promise<AttemptOutcome> {
+  private async runAttempt (work: GenerationRequest, progress: GenerationProgress, slot: Slot, sink: TokenSink): Promise<AttemptOutcome> {
     const { clock, ring } = this.opts
     const { signal, release } = createAttemptSignal(clock, work)
     const attempt: Attempt = { id: this.opts.createId(), slot, progress, signal }
@@ -78,7 +78,7 @@
       return { end }
     } catch (thrown) {
       const failure = explainFailure(signal, convertToError(thrown))
-      recordFailure(progress, failure, slot.runner.id, this.opts.places.isLost(slot.runner, work))
+      recordFailure(progress, failure, slot.runner.id, this.opts.slots.isLost(slot.runner, work))
       ring.record(EventKinds.ATTEMPT_FAILED, { ...fields, note: `${failure.code}: ${failure.message}` })
       slot.end({ firstByteMs: attempt.firstByteMs, failed: !signal.aborted })
       void this.opts.engines.cancel(slot.runner.server.address, attempt.id)
@@ -89,7 +89,7 @@
   }
 
   /** Reads the stream of one attempt, resuming it at its offset on the same engine when the connection breaks. */
-  private async readOutput (work: GenerationWork, attempt: Attempt, sink: TokenSink): Promise<GenerateEnd> {
+  private async readOutput (work: GenerationRequest, attempt: Attempt, sink: TokenSink): Promise<GenerateEnd> {
     const { address } = attempt.slot.runner.server
     const { engines, ring } = this.opts
     for (let resumes = 0; ; resumes++) {
@@ -106,17 +106,17 @@
     }
   }
 
-  private buildCall (work: GenerationWork, attempt: Attempt): GenerateCall {
+  private buildCall (work: GenerationRequest, attempt: Attempt): GenerateCall {
     const { progress, slot } = attempt
     const item = slot.item ?? work.items[0] ?? ''
     const continuation = progress.text === '' ? undefined : progress.text
-    const priority = getWorkClass(work.serviceClass)
+    const priority = getPriority(work.serviceClass)
     return { attempt: attempt.id, item, adapter: work.adapter, prompt: work.prompt, maxTokens: work.maxTokens, priority, offset: progress.tokens, continuation }
   }
 
   /** Reads one connection until it ends, breaks or stalls. */
   private async readStream (
-    work: GenerationWork,
+    work: GenerationRequest,
     attempt: Attempt,
     sink: TokenSink,
     open: (onToken: TokenSink, signal: AbortSignal) => Promise<GenerateEnd>,
@@ -137,7 +137,7 @@
     }
   }
 
-  private takeToken (work: GenerationWork, attempt: Attempt, token: GeneratedToken, sink: TokenSink): void | Promise<void> {
+  private takeToken (work: GenerationRequest, attempt: Attempt, token: GeneratedToken, sink: TokenSink): void | Promise<void> {
     const { progress } = attempt
     // Tokens that arrive after the attempt was aborted are not part of the output.
     if (attempt.signal.aborted) throw new PulleystackError('ATTEMPT_FAILED_UNKNOWN', 'The attempt was aborted')
@@ -151,12 +151,12 @@
   }
 
   /** Whether the engine has sent a status report in the last `withinMs` milliseconds. */
-  private isReporting (slot: Place, withinMs: number): boolean {
+  private isReporting (slot: Slot, withinMs: number): boolean {
     const { reportedAt } = slot.runner
     return reportedAt !== undefined && this.opts.clock.readTime() - reportedAt < withinMs
   }
 
-  private recordFirstByte (work: GenerationWork, attempt: Attempt): void {
+  private recordFirstByte (work: GenerationRequest, attempt: Attempt): void {
     attempt.firstByteMs = this.opts.clock.readTime() - attempt.slot.startedAt
     this.opts.ring.record(EventKinds.ATTEMPT_FIRST_BYTE, { request: work.request, attempt: attempt.id, ms: attempt.firstByteMs })
   }
--- a/routing/dispatch/src/ServiceDispatcher.ts
+++ b/routing/dispatch/src/ServiceDispatcher.ts
@@ -5,14 +5,14 @@
 import type { ServiceAnswer, ServiceClient } from '@pulleystack/backend.interfaces'
 import { EventKinds } from '@pulleystack/timeline.events'
 import { allowRetry, createAttemptSignal, createFinalError, createProgress, explainFailure, recordFailure, type Progress } from './attempts.js'
-import type { DispatchOptions, RequestWork } from './DispatchOptions.js'
+import type { DispatchOptions, DispatchRequest } from './DispatchOptions.js'
 import { LatencyTracker } from './LatencyTracker.js'
-import type { Place, SlotRequest } from './Places.js'
+import type { Slot, SlotRequest } from './SlotAllocator.js'
 
 // Lookup responses up to this size are buffered before they are passed on, so that incomplete ones can be retried.
 const MAX_BUFFERED_BYTES = 256 << 10
 
-export interface ServiceWork extends RequestWork {
+export interface ServiceRequest extends DispatchRequest {
   method: string
   path: string
   headers: Record<string, string | string[]>
@@ -21,7 +21,7 @@
 }
 
 interface RunningAttempt {
-  slot: Place
+  slot: Slot
   result: Promise<ServiceAnswer>
   stop: () => void
 }
@@ -33,10 +33,10 @@
   constructor (private readonly opts: DispatchOptions & { services: ServiceClient }) {}
 
   /** Resolves with the response of the first successful attempt and discards all others. */
-  async run (work: ServiceWork): Promise<ServiceAnswer> {
+  async run (work: ServiceRequest): Promise<ServiceAnswer> {
     const progress = createProgress()
     const hasStreamBody = work.body instanceof Readable
-    this.opts.budgets.find(work.partner, work.service).noteRequest()
+    this.opts.budgets.find(work.partner, work.service).recordRequest()
     for (;;) {
       const slot = await this.acquire(work, progress)
       progress.attempts++
@@ -50,16 +50,16 @@
     }
   }
 
-  private async acquire (work: ServiceWork, progress: Progress): Promise<Place> {
+  private async acquire (work: ServiceRequest, progress: Progress): Promise<Slot> {
     try {
-      return await this.opts.places.acquire(buildRequest(work, progress))
+      return await this.opts.slots.acquire(buildRequest(work, progress))
     } catch (thrown) {
       throw createFinalError(progress, convertToError(thrown))
     }
   }
 
   /** Sends the call, and a slow lookup also to a second server; returns the first successful response. */
-  private async runHedged (work: ServiceWork, progress: Progress, slot: Place): Promise<ServiceAnswer> {
+  private async runHedged (work: ServiceRequest, progress: Progress, slot: Slot): Promise<ServiceAnswer> {
     const first = this.start(work, progress, slot)
     if (!canHedge(work)) return first.result
     const hedgeMs = this.latencies.estimateSlowMs(`${work.partner}/${work.service}`)
@@ -81,14 +81,14 @@
     })
   }
 
-  private startHedge (work: ServiceWork, progress: Progress, slot: Place): RunningAttempt | undefined {
+  private startHedge (work: ServiceRequest, progress: Progress, slot: Slot): RunningAttempt | undefined {
     const budget = this.opts.budgets.find(work.partner, work.service)
     if (!budget.take()) return undefined
     const excluded = new Set([...progress.excluded, slot.runner.id])
-    const otherSlot = this.opts.places.tryAcquire({ ...buildRequest(work, progress), excluded })
+    const otherSlot = this.opts.slots.tryAcquire({ ...buildRequest(work, progress), excluded })
     if (otherSlot && otherSlot.runner.id !== slot.runner.id) return this.start(work, progress, otherSlot)
     otherSlot?.end({ failed: false })
-    budget.giveBack()
+    budget.release()
     return undefined
   }
 
@@ -105,14 +105,14 @@
     }
   }
 
-  private start (work: ServiceWork, progress: Progress, slot: Place): RunningAttempt {
+  private start (work: ServiceRequest, progress: Progress, slot: Slot): RunningAttempt {
     const { controller, release } = createAttemptSignal(this.opts.clock, work)
     const result = this.attempt(work, progress, slot, controller).finally(release)
     result.catch(() => undefined)
     return { slot, result, stop: () => controller.abort(new PulleystackError('ATTEMPT_FAILED_UNKNOWN', 'Another attempt finished first')) }
   }
 
-  private async attempt (work: ServiceWork, progress: Progress, slot: Place, controller: AbortController): Promise<ServiceAnswer> {
+  private async attempt (work: ServiceRequest, progress: Progress, slot: Slot, controller: AbortController): Promise<ServiceAnswer> {
     const { clock, ring } = this.opts
     const id = this.opts.createId()
     const fields = { request: work.request, attempt: id, server: slot.runner.id, partner: work.partner }
@@ -137,15 +137,15 @@
   }
 }
 
-function canHedge (work: ServiceWork): boolean {
+function canHedge (work: ServiceRequest): boolean {
   return work.repeatable && work.serviceClass === ServiceClasses.LOOKUP && !(work.body instanceof Readable)
 }
 
-function buildRequest (work: ServiceWork, progress: Progress): SlotRequest {
+function buildRequest (work: ServiceRequest, progress: Progress): SlotRequest {
   return { ...work, blocks: [], excluded: progress.excluded }
 }
 
-async function collectSmallBody (work: ServiceWork, response: ServiceAnswer): Promise<ServiceAnswer> {
+async function collectSmallBody (work: ServiceRequest, response: ServiceAnswer): Promise<ServiceAnswer> {
   const length = Number(response.headers['content-length'] ?? NaN)
   if (work.serviceClass !== ServiceClasses.LOOKUP || !(length <= MAX_BUFFERED_BYTES)) return response
   try {
--- a/routing/dispatch/src/Budgets.ts
+++ b/routing/dispatch/src/ServiceRetryBudgets.ts
@@ -1,7 +1,7 @@
 import { RetryBudget } from '@pulleystack/routing.retries'
 
 /** Retry budgets by service. */
-export class Budgets {
+export class ServiceRetryBudgets {
   private readonly budgets = new Map<string, RetryBudget>()
 
   find (partner: string, service: string): RetryBudget {
--- a/routing/dispatch/src/Places.ts
+++ b/routing/dispatch/src/SlotAllocator.ts
@@ -8,7 +8,7 @@
 import { listUsable } from '@pulleystack/routing.retries'
 import type { Runner } from '@pulleystack/routing.runners'
 import { EventKinds, type EventRing } from '@pulleystack/timeline.events'
-import type { RequestWork } from './DispatchOptions.js'
+import type { DispatchRequest } from './DispatchOptions.js'
 import type { EligibleRunners } from './EligibleRunners.js'
 
 /** Additional milliseconds of network latency by a server's location. */
@@ -19,7 +19,7 @@
 const MIN_DIVISIBLE_SLOTS = 4
 
 /** Permission for one request at one server; `end` must be called. */
-export interface Place {
+export interface Slot {
   runner: Runner
   /** The item that serves the request; undefined for plain services. */
   item: string | undefined
@@ -39,7 +39,7 @@
   overloaded?: boolean
 }
 
-export interface SlotRequest extends RequestWork {
+export interface SlotRequest extends DispatchRequest {
   /** Items of which one must be ready, in order of preference; undefined for plain services. */
   items?: readonly string[]
   adapter?: string
@@ -56,7 +56,7 @@
   view: MembershipView
   index: ConfigIndex
   eligible: EligibleRunners
-  queue: WorkQueue<Place>
+  queue: WorkQueue<Slot>
   picker: Picker
   ring: EventRing
 }
@@ -66,11 +66,11 @@
 }
 
 /** Allocates slots at backend servers; requests wait in the queue while no slot is free. */
-export class Places {
+export class SlotAllocator {
   constructor (private readonly opts: SlotAllocatorOptions) {}
 
   /** Waits for a slot; rejects with the queue's errors, or immediately with NO_RUNNER when no server is eligible. */
-  async acquire (request: SlotRequest): Promise<Place> {
+  async acquire (request: SlotRequest): Promise<Slot> {
     if (this.opts.eligible.list(request.partner, request.service).length === 0) {
       throw new PulleystackError('NO_RUNNER', `No backend server is eligible for "${request.service}"`, {
         hint: 'Check the service\'s selectors against the servers\' labels (pulleystack explain).',
@@ -97,11 +97,11 @@
   }
 
   /** Acquires a slot without waiting; undefined when no ready server has a free one. */
-  tryAcquire (request: SlotRequest): Place | undefined {
+  tryAcquire (request: SlotRequest): Slot | undefined {
     const ready = this.listReady(request)
     const untried = ready.filter((runner) => !request.excluded.has(runner.id))
     const usable = listUsable(untried.length > 0 ? untried : ready, this.opts.clock.readTime())
-    const free = usable.filter((runner) => this.hasRoom(runner, request))
+    const free = usable.filter((runner) => this.hasFreeSlot(runner, request))
     if (free.length === 0) return undefined
     const candidate = this.opts.picker.pick(free.map((runner) => this.buildCandidate(runner)), request)
     return this.takeSlot(candidate.runner, request)
@@ -126,13 +126,13 @@
   }
 
   /** Whether this instance may send one more request of this partner and class to the server. */
-  hasRoom (runner: Runner, request: Pick<RequestWork, 'partner' | 'serviceClass'>): boolean {
+  hasFreeSlot (runner: Runner, request: Pick<DispatchRequest, 'partner' | 'serviceClass'>): boolean {
     const { limit } = runner.limiter
     const now = this.opts.clock.readTime()
-    if (runner.ownInFlight >= limit || now < runner.refusedUntil || runner.isFull(now)) return false
+    if (runner.ownInFlight >= limit || now < runner.pausedUntil || runner.isFull(now)) return false
     const reservedSlots = limit >= MIN_DIVISIBLE_SLOTS ? Math.max(1, Math.floor(limit * LOOKUP_RESERVE_FRACTION)) : 0
     if (request.serviceClass === ServiceClasses.WORK && runner.workInFlight >= limit - reservedSlots) return false
-    return runner.countOf(request.partner) < this.computePartnerLimit(runner, request.partner)
+    return runner.countInFlight(request.partner) < this.computePartnerLimit(runner, request.partner)
   }
 
   /** Number of slots left by the guaranteed shares of the other partners that have items or services on the server. */
@@ -154,7 +154,7 @@
       slots: runner.slots,
       serviceMs: runner.serviceMs,
       prefillMsPerBlock: runner.prefillMsPerBlock,
-      hopMs: this.computeHopMs(runner),
+      networkMs: this.computeHopMs(runner),
       estimateLoad: () => runner.estimateLoad(),
       countMatching: (blocks) => runner.cache.countMatching(blocks),
     }
@@ -166,21 +166,21 @@
     return runner.server.region === self.region ? HopMs.SAME_REGION : HopMs.OTHER_REGION
   }
 
-  private takeSlot (runner: Runner, request: SlotRequest): Place {
+  private takeSlot (runner: Runner, request: SlotRequest): Slot {
     const startedAt = this.opts.clock.readTime()
     const isLookup = request.serviceClass === ServiceClasses.LOOKUP
     const missingBlocks = request.blocks.length - runner.cache.countMatching(request.blocks)
     const item = request.items?.find((it) => runner.hasReady(it))
-    runner.noteStart(request.partner, isLookup, startedAt, item)
-    runner.cache.expect(request.blocks)
+    runner.recordStart(request.partner, isLookup, startedAt, item)
+    runner.cache.addUnconfirmed(request.blocks)
     const inFlight = runner.ownInFlight
     let ended = false
     const end = (outcome: SlotOutcome): void => {
       if (ended) return
       ended = true
-      runner.noteEnd(request.partner, isLookup, this.opts.clock.readTime(), item)
+      runner.recordEnd(request.partner, isLookup, this.opts.clock.readTime(), item)
       this.recordOutcome(runner, { ...outcome, startedAt, missingBlocks, inFlight })
-      this.opts.queue.pump()
+      this.opts.queue.serveWaiting()
     }
     return { runner, item, startedAt, missingBlocks, end }
   }
@@ -189,13 +189,13 @@
     const now = this.opts.clock.readTime()
     const { firstByteMs } = outcome
     if (outcome.failed) {
-      if (runner.outlier.noteFailure(now, this.opts.random.readFraction())) this.opts.ring.record(EventKinds.RUNNER_EJECTED, { server: runner.id })
+      if (runner.outlier.recordFailure(now, this.opts.random.readFraction())) this.opts.ring.record(EventKinds.RUNNER_EJECTED, { server: runner.id })
     } else {
-      runner.outlier.noteSuccess()
-      runner.noteServiceTime(now - outcome.startedAt, outcome.tokens)
+      runner.outlier.recordSuccess()
+      runner.recordServiceTime(now - outcome.startedAt, outcome.tokens)
     }
     if (firstByteMs === undefined && !outcome.overloaded) return
-    if (firstByteMs !== undefined) runner.notePrefill(outcome.missingBlocks, firstByteMs)
+    if (firstByteMs !== undefined) runner.recordPrefill(outcome.missingBlocks, firstByteMs)
     const prefillMs = outcome.missingBlocks * runner.prefillMsPerBlock
     runner.limiter.addSample({
       firstByteMs: Math.max(1, (firstByteMs ?? 0) - prefillMs),
--- a/routing/dispatch/src/attempts.ts
+++ b/routing/dispatch/src/attempts.ts
@@ -1,7 +1,7 @@
 import type { Clock } from '@pulleystack/core.clock'
 import { PulleystackError, Ran } from '@pulleystack/core.errors'
 import { computeBackoff } from '@pulleystack/routing.retries'
-import type { DispatchOptions, RequestWork } from './DispatchOptions.js'
+import type { DispatchOptions, DispatchRequest } from './DispatchOptions.js'
 
 const MAX_ATTEMPTS = 4
 
@@ -32,7 +32,7 @@
  * Waits before another attempt, or throws the request's final error. A non-repeatable request is retried only when it is
  * certain that nothing ran. Retries after an unreachable or lost server do not multiply traffic, and so cost no budget.
  */
-export async function allowRetry (opts: DispatchOptions, work: RequestWork, progress: Progress, error: PulleystackError): Promise<void> {
+export async function allowRetry (opts: DispatchOptions, work: DispatchRequest, progress: Progress, error: PulleystackError): Promise<void> {
   const final = createFinalError(progress, error)
   if (work.signal.aborted || progress.attempts >= MAX_ATTEMPTS) throw final
   if (!work.repeatable && (progress.outcomeUnknown || progress.hasOutput)) throw final
@@ -61,7 +61,7 @@
 }
 
 /** Creates a signal that aborts at the deadline or when the caller disconnects; `release` must be called. */
-export function createAttemptSignal (clock: Clock, work: RequestWork): { signal: AbortSignal, controller: AbortController, release: () => void } {
+export function createAttemptSignal (clock: Clock, work: DispatchRequest): { signal: AbortSignal, controller: AbortController, release: () => void } {
   const controller = new AbortController()
   const handleAbort = (): void => controller.abort(new PulleystackError('CALLER_GONE', 'The caller disconnected'))
   const expire = (): void => controller.abort(new PulleystackError('DEADLINE_UNKNOWN', 'The deadline passed after the request was sent'))
--- a/routing/dispatch/test/GenerationDispatcher.test.ts
+++ b/routing/dispatch/test/GenerationDispatcher.test.ts
@@ -11,7 +11,7 @@
 import { buildModel, buildService, checkProperty, createReplica, createView } from '@pulleystack/tools.testing'
 import fc from 'fast-check'
 import { err, type Result } from 'neverthrow'
-import { Budgets, EligibleRunners, GenerationDispatcher, Places, type Place } from '../src/index.js'
+import { ServiceRetryBudgets, EligibleRunners, GenerationDispatcher, SlotAllocator, type Slot } from '../src/index.js'
 
 const TOKENS = 6
 const ITEM = 'p/m@base'
@@ -95,13 +95,13 @@
   }
   const ring = new EventRing({ clock, instance: 'a', dataHall: 'h' })
   const eligible = new EligibleRunners({ index, replica, table, view })
-  const queue = new WorkQueue<Place>({ clock, maxPerPartner: 100, getWeight: () => 1 })
-  const places = new Places({ clock, random, view, index, eligible, queue, picker: new CostPicker(random), ring })
+  const queue = new WorkQueue<Slot>({ clock, maxPerPartner: 100, getWeight: () => 1 })
+  const slots = new SlotAllocator({ clock, random, view, index, eligible, queue, picker: new CostPicker(random), ring })
   const engines = new ScriptedEngines({ clock, behaviors, forgetsAttempts: opts.forgetsAttempts ?? false })
-  const budgets = new Budgets()
-  for (let i = 0; i < 100; i++) budgets.find('p', 'drafts').noteRequest()
+  const budgets = new ServiceRetryBudgets()
+  for (let i = 0; i < 100; i++) budgets.find('p', 'drafts').recordRequest()
   let ids = 0
-  const dispatcher = new GenerationDispatcher({ clock, random, ring, places, budgets, engines, createId: () => `x${ids++}`, stallMs: 500 })
+  const dispatcher = new GenerationDispatcher({ clock, random, ring, slots, budgets, engines, createId: () => `x${ids++}`, stallMs: 500 })
   return { clock, table, engines, dispatcher }
 }
 
--- a/routing/dispatch/test/ServiceDispatcher.test.ts
+++ b/routing/dispatch/test/ServiceDispatcher.test.ts
@@ -10,7 +10,7 @@
 import { RunnerTable } from '@pulleystack/routing.runners'
 import { EventRing } from '@pulleystack/timeline.events'
 import { buildService, createReplica, createView } from '@pulleystack/tools.testing'
-import { Budgets, EligibleRunners, Places, ServiceDispatcher, type Place } from '../src/index.js'
+import { ServiceRetryBudgets, EligibleRunners, SlotAllocator, ServiceDispatcher, type Slot } from '../src/index.js'
 
 type Behavior = { ms: number, error?: PulleystackError, breaks?: boolean }
 
@@ -56,13 +56,13 @@
   table.applyServers(['x', 'y', 'z'].map((id) => ({ id, address: id, ...shared })), 0)
   const ring = new EventRing({ clock, instance: 'a', dataHall: 'h' })
   const eligible = new EligibleRunners({ index, replica, table, view })
-  const queue = new WorkQueue<Place>({ clock, maxPerPartner: 100, getWeight: () => 1 })
-  const places = new Places({ clock, random, view, index, eligible, queue, picker: new CostPicker(random), ring })
+  const queue = new WorkQueue<Slot>({ clock, maxPerPartner: 100, getWeight: () => 1 })
+  const slots = new SlotAllocator({ clock, random, view, index, eligible, queue, picker: new CostPicker(random), ring })
   const services = new ScriptedServices({ clock, behaviors })
-  const budgets = new Budgets()
-  for (let i = 0; i < (opts.requestsBefore ?? 0); i++) budgets.find('p', 's').noteRequest()
+  const budgets = new ServiceRetryBudgets()
+  for (let i = 0; i < (opts.requestsBefore ?? 0); i++) budgets.find('p', 's').recordRequest()
   let ids = 0
-  const dispatcher = new ServiceDispatcher({ clock, random, ring, places, budgets, services, createId: () => `t${ids++}` })
+  const dispatcher = new ServiceDispatcher({ clock, random, ring, slots, budgets, services, createId: () => `t${ids++}` })
   return { clock, services, table, dispatcher, budgets }
 }
 
--- a/routing/fleet/src/ServerReports.ts
+++ b/routing/fleet/src/ServerReports.ts
@@ -1,4 +1,4 @@
-import type { AnswerFacts, ServerStatement } from '@pulleystack/backend.interfaces'
+import type { ResponseFacts, ServerStatus } from '@pulleystack/backend.interfaces'
 import type { Clock } from '@pulleystack/core.clock'
 import { DecisionKinds, type DecisionLog } from '@pulleystack/timeline.decisions'
 import type { Backend } from './Backend.js'
@@ -38,10 +38,10 @@
   constructor (private readonly opts: ServerReportsOptions) {}
 
   /** Processes the headers of a response. A response without a limit means that there is none, unless it may stem from another server or request. */
-  applyResponse (backend: Backend, { statement, requestId, misdirected }: AnswerFacts, request: SentRequest): void {
+  applyResponse (backend: Backend, { serverStatus, requestId, misdirected }: ResponseFacts, request: SentRequest): void {
     const isVerified = requestId === request.requestId && !misdirected
     const reportedAfter = isVerified ? request.sentAt : -Infinity
-    if (statement) this.apply(backend, statement, ReportSources.REQUEST, reportedAfter)
+    if (serverStatus) this.apply(backend, serverStatus, ReportSources.REQUEST, reportedAfter)
     else if (isVerified) this.applyLimit(backend, undefined, ReportSources.REQUEST, reportedAfter)
   }
 
@@ -49,8 +49,8 @@
    * Applies a status report from the server's address, unless it names another server. `reportedAfter` is the monotonic time in milliseconds after which the
    * report was certainly made.
    */
-  apply (backend: Backend, statement: ServerStatement, source: ReportSource, reportedAfter = -Infinity): void {
-    const { serverId, leaving, retryAfterMs, namesLimit, limitPerSecond, unreadable } = statement
+  apply (backend: Backend, serverStatus: ServerStatus, source: ReportSource, reportedAfter = -Infinity): void {
+    const { serverId, leaving, retryAfterMs, namesLimit, limitPerSecond, unreadable } = serverStatus
     if (serverId !== undefined && serverId !== backend.id) return
     if (unreadable !== undefined) this.recordUnreadable(backend, unreadable)
     if (limitPerSecond !== undefined || (!namesLimit && reportedAfter > -Infinity)) this.applyLimit(backend, limitPerSecond, source, reportedAfter)
--- a/routing/fleet/src/shareDrainingServers.ts
+++ b/routing/fleet/src/shareDrainingServers.ts
@@ -3,7 +3,7 @@
 import type { BackendFleet } from './BackendFleet.js'
 
 /** Draining incarnations of servers. A lost message isn't repeated, but the server reports it again in each response. */
-const DRAINING_SERVERS = defineChannel<ServerIncarnation[]>('fleet.departures', { isOnce: true })
+const DRAINING_SERVERS = defineChannel<ServerIncarnation[]>('fleet.departures', { isOneShot: true })
 /** Most incarnations sent over a new link, newest first; about 40 bytes each. */
 const MAX_SENT_ON_LINK = 256
 
--- a/routing/fleet/src/shareLimits.ts
+++ b/routing/fleet/src/shareLimits.ts
@@ -13,7 +13,7 @@
   ageMs: number
 }
 
-const LIMITS = defineChannel<LimitItem[]>('fleet.limits', { isOnce: true })
+const LIMITS = defineChannel<LimitItem[]>('fleet.limits', { isOneShot: true })
 /**
  * A raised or removed limit is announced again after these delays: an instance that received the former limit a moment later can't tell from the first
  * announcement which of them is newer.
--- a/routing/fleet/src/shareStaleServers.ts
+++ b/routing/fleet/src/shareStaleServers.ts
@@ -2,9 +2,9 @@
 import type { BackendDirectory, StaleServers } from './BackendDirectory.js'
 
 /** Servers whose entries in the restored store are out of date; sent again over each new link. */
-const STALE_SERVERS = defineChannel<StaleServers>('fleet.revived', { isOnce: true })
+const STALE_SERVERS = defineChannel<StaleServers>('fleet.revived', { isOneShot: true })
 /** Sent by an instance that begins to follow the store to the peers it is already linked to. */
-const STALE_SERVERS_REQUEST = defineChannel<Record<string, never>>('fleet.revived-wanted', { isOnce: true })
+const STALE_SERVERS_REQUEST = defineChannel<Record<string, never>>('fleet.revived-wanted', { isOneShot: true })
 
 export interface ShareStaleServersOptions {
   network: PeerNetwork
--- a/routing/fleet/test/ServerReports.test.ts
+++ b/routing/fleet/test/ServerReports.test.ts
@@ -2,7 +2,7 @@
 import { beforeEach, describe, it } from 'node:test'
 import { DEFAULT_POLICY } from '@pulleystack/config.settings'
 import { ManualClock, RandomSource } from '@pulleystack/core.clock'
-import { SilentDecisionLog } from '@pulleystack/timeline.decisions'
+import { NullDecisionLog } from '@pulleystack/timeline.decisions'
 import fc from 'fast-check'
 import { BackendDirectory, BackendFleet, ServerReports, ReportSources, chooseBackend, type Backend, type BackendEntry } from '../src/index.js'
 
@@ -21,8 +21,8 @@
   let reports: ServerReports
   let directory: BackendDirectory
   const find = (id: string): Backend => fleet.find(id) as Backend
-  const report = (id: string, statement: Partial<typeof DRAINING_STATEMENT> | { retryAfterMs: number }): void => {
-    reports.apply(find(id), { ...DRAINING_STATEMENT, leaving: false, ...statement } as never, ReportSources.REQUEST)
+  const report = (id: string, serverStatus: Partial<typeof DRAINING_STATEMENT> | { retryAfterMs: number }): void => {
+    reports.apply(find(id), { ...DRAINING_STATEMENT, leaving: false, ...serverStatus } as never, ReportSources.REQUEST)
   }
   const choose = (): string => {
     const choice = chooseBackend({ backends: fleet.list('s'), demand: DEMAND, capacity: undefined, random: new RandomSource(1), now: clock.readTime(), policy: DEFAULT_POLICY })
@@ -32,7 +32,7 @@
   beforeEach(() => {
     clock = new ManualClock()
     fleet = new BackendFleet()
-    reports = new ServerReports({ clock, fleet, log: new SilentDecisionLog() })
+    reports = new ServerReports({ clock, fleet, log: new NullDecisionLog() })
     directory = new BackendDirectory({ clock, fleet, readMsSinceRecovery: () => LONG_RECOVERED_MS })
     directory.put(createEntry('a', 1))
   })
@@ -121,7 +121,7 @@
       await fc.assert(fc.asyncProperty(fc.array(event, { maxLength: 60 }), async (events) => {
         clock = new ManualClock()
         fleet = new BackendFleet()
-        reports = new ServerReports({ clock, fleet, log: new SilentDecisionLog() })
+        reports = new ServerReports({ clock, fleet, log: new NullDecisionLog() })
         directory = new BackendDirectory({ clock, fleet, readMsSinceRecovery: () => LONG_RECOVERED_MS })
         const incarnations = new Map<string, number>()
         const draining = new Set<string>()
--- a/routing/fleet/test/shareLimits.test.ts
+++ b/routing/fleet/test/shareLimits.test.ts
@@ -83,7 +83,7 @@
   })
 
   it('are ignored in invalid messages', async () => {
-    const channel = defineChannel<unknown>('fleet.limits', { isOnce: true })
+    const channel = defineChannel<unknown>('fleet.limits', { isOneShot: true })
     const bodies = [
       null,
       'limits',
--- a/routing/forward/src/BackendAgent.ts
+++ b/routing/forward/src/BackendAgent.ts
@@ -29,7 +29,7 @@
   }
 
   /** Number of connections opened by this agent. */
-  get opened (): number {
+  get openedConnections (): number {
     return this.openedCount
   }
 
--- a/routing/forward/src/EventSplitter.ts
+++ b/routing/forward/src/EventSplitter.ts
@@ -32,7 +32,7 @@
   }
 
   /** Removes and returns the bytes after the last complete event. */
-  takeRest (): Buffer {
+  takeRemainder (): Buffer {
     const { remainder } = this
     this.remainder = Buffer.alloc(0)
     return remainder
--- a/routing/forward/src/ExchangeAnswer.ts
+++ b/routing/forward/src/ExchangeResponse.ts
@@ -1,16 +1,16 @@
 import type http from 'node:http'
 import type { Socket } from 'node:net'
-import type { AnswerFacts } from '@pulleystack/backend.interfaces'
+import type { ResponseFacts } from '@pulleystack/backend.interfaces'
 import { PulleystackError, Ran } from '@pulleystack/core.errors'
 
 /** A response whose head has been received; the body can be read from it. */
-export class ExchangeAnswer {
-  readonly facts: AnswerFacts
+export class ExchangeResponse {
+  readonly facts: ResponseFacts
   private readonly request: http.ClientRequest
   private readonly message: http.IncomingMessage
   private failure: Error | undefined
 
-  constructor (opts: { request: http.ClientRequest, message: http.IncomingMessage, facts: AnswerFacts }) {
+  constructor (opts: { request: http.ClientRequest, message: http.IncomingMessage, facts: ResponseFacts }) {
     this.facts = opts.facts
     this.request = opts.request
     this.message = opts.message
@@ -46,7 +46,7 @@
   }
 
   /** Reads the whole body; rejects with ATTEMPT_FAILED_UNKNOWN when it is incomplete or larger than `maxBytes`. */
-  async readWhole (maxBytes: number): Promise<Buffer> {
+  async readBody (maxBytes: number): Promise<Buffer> {
     const chunks: Buffer[] = []
     let size = 0
     await this.read((chunk) => {
@@ -69,7 +69,7 @@
         try {
           onChunk(chunk)
         } catch (thrown) {
-          this.cut()
+          this.abort()
           fail(thrown)
         }
       })
@@ -101,7 +101,7 @@
    * Closes the connection and marks the response as failed: Node drops the unread bytes but still ends the body normally,
    * which would pass for a complete response.
    */
-  cut (): void {
+  abort (): void {
     this.failure ??= new Error('The response was aborted')
     this.message.on('error', () => undefined)
     this.request.on('error', () => undefined)
--- a/routing/forward/src/ServerProbe.ts
+++ b/routing/forward/src/ServerProbe.ts
@@ -12,7 +12,7 @@
   constructor (private readonly clock: Clock) {}
 
   /** Whether a connection to the address fails or times out. */
-  hasEnded (address: string): Promise<boolean> {
+  isDown (address: string): Promise<boolean> {
     const existing = this.pending.get(address)
     if (existing) return existing
     const probe = this.isUnreachable(address).finally(() => this.pending.delete(address))
--- a/routing/forward/src/index.ts
+++ b/routing/forward/src/index.ts
@@ -1,7 +1,7 @@
 export { BackendAgent } from './BackendAgent.js'
 export { EventSplitter } from './EventSplitter.js'
 export type { StreamEvent } from './EventSplitter.js'
-export { ExchangeAnswer } from './ExchangeAnswer.js'
+export { ExchangeResponse } from './ExchangeResponse.js'
 export { ServerProbe } from './ServerProbe.js'
 export { openExchange } from './openExchange.js'
 export type { ExchangeOptions } from './openExchange.js'
--- a/routing/forward/src/openExchange.ts
+++ b/routing/forward/src/openExchange.ts
@@ -1,15 +1,15 @@
 import http from 'node:http'
-import type { AnswerFacts, RoutedProtocol } from '@pulleystack/backend.interfaces'
+import type { ResponseFacts, RoutedProtocol } from '@pulleystack/backend.interfaces'
 import { parseAddress } from '@pulleystack/core.addresses'
 import type { Clock } from '@pulleystack/core.clock'
 import { PulleystackError, Ran } from '@pulleystack/core.errors'
 import type { BackendAgent } from './BackendAgent.js'
-import { ExchangeAnswer } from './ExchangeAnswer.js'
+import { ExchangeResponse } from './ExchangeResponse.js'
 
 /** One request to one backend server. */
 export interface ExchangeOptions {
   agent: BackendAgent
-  protocol: Pick<RoutedProtocol, 'readAnswer'>
+  protocol: Pick<RoutedProtocol, 'readResponse'>
   clock: Clock
   address: string
   method: string
@@ -20,11 +20,11 @@
   body: Buffer | undefined
   requestId: string | undefined
   /** Connection timeout in milliseconds. */
-  connectMs: number
+  connectTimeoutMs: number
   /** Aborts the exchange and closes its connection. */
   signal: AbortSignal
   /** Called for every response head, also for a response that is rejected afterwards. */
-  onHead?: (facts: AnswerFacts) => void
+  onHead?: (facts: ResponseFacts) => void
 }
 
 /**
@@ -32,18 +32,18 @@
  * when no byte was sent, BACKEND_REFUSED when the server reports that it did not run the request, and
  * ATTEMPT_FAILED_UNKNOWN otherwise.
  */
-export function openExchange (opts: ExchangeOptions): Promise<ExchangeAnswer> {
+export function openExchange (opts: ExchangeOptions): Promise<ExchangeResponse> {
   return new Promise((resolve, reject) => {
     const { host, port } = parseAddress(opts.address)
     const request = http.request({ host, port, agent: opts.agent, method: opts.method, path: opts.path, headers: [...opts.headers], setHost: false })
     const connection = watchConnection(opts, request)
-    let response: ExchangeAnswer | undefined
+    let response: ExchangeResponse | undefined
     const release = (): void => {
       connection.stop()
       opts.signal.removeEventListener('abort', abort)
     }
     const abort = (): void => {
-      if (response) response.cut()
+      if (response) response.abort()
       else request.destroy()
       release()
       reject(createFailure(connection.wasConnected(), 'The attempt was aborted', opts.signal.reason))
@@ -54,7 +54,7 @@
     })
     request.once('response', (message) => {
       connection.stop()
-      response = new ExchangeAnswer({ request, message, facts: opts.protocol.readAnswer(message.statusCode ?? 0, message.headers) })
+      response = new ExchangeResponse({ request, message, facts: opts.protocol.readResponse(message.statusCode ?? 0, message.headers) })
       opts.onHead?.(response.facts)
       const problem = checkHead(response.facts, opts.requestId)
       message.once('close', release)
@@ -63,7 +63,7 @@
         return
       }
       if (problem.ran === Ran.NO) response.discard()
-      else response.cut()
+      else response.abort()
       reject(problem)
     })
     if (opts.signal.aborted) {
@@ -82,7 +82,7 @@
   request.once('socket', (socket) => {
     isConnected = !socket.connecting
     if (isConnected) return
-    cancel = opts.clock.setTimer(opts.connectMs, () => request.destroy(new Error(`No connection was established within ${opts.connectMs} ms`)))
+    cancel = opts.clock.setTimer(opts.connectTimeoutMs, () => request.destroy(new Error(`No connection was established within ${opts.connectTimeoutMs} ms`)))
     socket.once('connect', () => {
       isConnected = true
       cancel()
@@ -95,7 +95,7 @@
   return new PulleystackError(wasConnected ? 'ATTEMPT_FAILED_UNKNOWN' : 'ATTEMPT_FAILED_NOT_RUN', message, { cause })
 }
 
-function checkHead (facts: AnswerFacts, requestId: string | undefined): PulleystackError | undefined {
+function checkHead (facts: ResponseFacts, requestId: string | undefined): PulleystackError | undefined {
   if (requestId !== undefined && facts.requestId !== requestId) {
     return new PulleystackError('ATTEMPT_FAILED_UNKNOWN', 'The response belongs to another request')
   }
--- a/routing/forward/test/EventSplitter.test.ts
+++ b/routing/forward/test/EventSplitter.test.ts
@@ -25,7 +25,7 @@
       const splitter = new EventSplitter()
       const edges = [0, ...cuts.map((cut) => Math.min(cut, bytes.length)).sort((a, b) => a - b), bytes.length]
       const parts = edges.slice(1).flatMap((edge, at) => splitter.push(bytes.subarray(edges[at], edge)).map((event) => event.bytes))
-      assert.equal(Buffer.concat([...parts, splitter.takeRest()]).toString(), bytes.toString())
+      assert.equal(Buffer.concat([...parts, splitter.takeRemainder()]).toString(), bytes.toString())
       for (const part of parts) assert.ok(part.toString().endsWith('\n\n'))
     }), { numRuns: 200, seed: 2 })
   })
--- a/routing/limits/src/CountedLimits.ts
+++ b/routing/limits/src/CountedLimits.ts
@@ -4,7 +4,7 @@
 import type { RateVerdict } from './RatePool.js'
 import { TeamLimits } from './TeamLimits.js'
 
-const USAGE = defineChannel<[team: string, units: number][]>('limits.used', { isOnce: true })
+const USAGE = defineChannel<[team: string, units: number][]>('limits.used', { isOneShot: true })
 const ANNOUNCE_INTERVAL_MS = 100
 
 /** One instance's replica of a team's token bucket. */
@@ -48,7 +48,7 @@
     return Promise.resolve({ isGranted: true })
   }
 
-  override giveBack (team: Team, units: number): void {
+  override release (team: Team, units: number): void {
     this.count(team.name, -units)
     this.recordUnannounced(team.name, -units)
   }
--- a/routing/limits/src/PooledLimits.ts
+++ b/routing/limits/src/PooledLimits.ts
@@ -3,12 +3,12 @@
 import { PulleystackError, Ran } from '@pulleystack/core.errors'
 import { defineChannel, type PeerNetwork } from '@pulleystack/membership.peers'
 import type { PooledRate, RateBounds, RateVerdict } from './RatePool.js'
-import { RatePools, type LimitsStanding, type TimeContribution } from './RatePools.js'
+import { RatePools, type LimitsMembership, type TimeContribution } from './RatePools.js'
 import { TeamLimits } from './TeamLimits.js'
 
 const TIME_CONTRIBUTIONS = defineChannel<TimeContribution>('limits.earned')
 const ACQUIRE = defineChannel<{ team: string, units: number, quota: TeamQuota }, RateVerdict>('limits.asked')
-const UNUSED_UNITS = defineChannel<{ team: string, units: number }>('limits.given-back', { isOnce: true })
+const UNUSED_UNITS = defineChannel<{ team: string, units: number }>('limits.given-back', { isOneShot: true })
 
 const OWNER_TIMEOUT_MS = 250
 const NO_OWNER_RETRY_SECONDS = 0.3
@@ -16,7 +16,7 @@
 export interface PooledLimitsOptions {
   clock: Clock
   network: PeerNetwork
-  standing: LimitsStanding
+  membership: LimitsMembership
   bounds: RateBounds
   readTable: () => RouteTable | undefined
 }
@@ -34,7 +34,7 @@
   override start (signal: AbortSignal): void {
     const { network } = this.opts
     network.handleCalls(ACQUIRE, (_, { team, units, quota }) => this.takeLocally(team, units, quota))
-    const subscription = network.receive(UNUSED_UNITS).subscribe(({ body }) => this.pools.giveBack(body.team, body.units))
+    const subscription = network.receive(UNUSED_UNITS).subscribe(({ body }) => this.pools.release(body.team, body.units))
     signal.addEventListener('abort', () => subscription.unsubscribe(), { once: true })
     this.pools.start(signal)
   }
@@ -53,10 +53,10 @@
     })
   }
 
-  override giveBack (team: Team, units: number): void {
+  override release (team: Team, units: number): void {
     if (!team.quota) return
     const owner = this.pools.findOwner(team.name)
-    if (owner === this.pools.self) this.pools.findPool(team.name, team.quota).giveBack(units)
+    if (owner === this.pools.self) this.pools.findPool(team.name, team.quota).release(units)
     else if (owner !== undefined) this.opts.network.send(owner, UNUSED_UNITS, { team: team.name, units })
   }
 
--- a/routing/limits/src/RatePool.ts
+++ b/routing/limits/src/RatePool.ts
@@ -20,9 +20,9 @@
 export interface RateBounds {
   windowMs: number
   /** Share of the rate by which a window may exceed it. */
-  over: number
+  toleranceShare: number
   /** Additional units by which a window may exceed the rate. */
-  slack: number
+  toleranceUnits: number
 }
 
 /** Result of a request for units. */
@@ -39,7 +39,7 @@
 
 /** Share of the tolerance that is added to the rate, to compensate for failed instances and lost messages. */
 const RATE_MARGIN_SHARE = 0.25
-/** Share of the slack by which one pool may be overdrawn, so that several pools created in one window stay within the slack together. */
+/** Share of `toleranceUnits` by which one pool may be overdrawn, so that several pools created in one window stay within it together. */
 const OVERDRAFT_SHARE = 0.25
 
 /**
@@ -47,8 +47,8 @@
  * only, so all pools of a rate together never exceed it, even during network partitions. Capacity and overdraft scale with the share of instances that
  * contribute; a new pool is empty.
  *
- * In a window of W ms all pools grant at most rate x (1 + over / 4) x (W + 500 ms) + 1.3 x (burst + slack / 4) units, where 500 ms is the time that
- * instances may hold back when it begins. `takeUpTo` may grant one unit more.
+ * In a window of W ms all pools grant at most rate x (1 + toleranceShare / 4) x (W + 500 ms) + 1.3 x (burst + toleranceUnits / 4) units, where
+ * 500 ms is the time that instances may hold back when it begins. `takeUpTo` may grant one unit more.
  */
 export class RatePool {
   private level = 0
@@ -107,7 +107,7 @@
   }
 
   /** Returns the units of a request that did not run. */
-  giveBack (units: number): void {
+  release (units: number): void {
     this.level = Math.min(this.capacity, this.level + units)
   }
 
@@ -118,7 +118,7 @@
   }
 
   private get refillPerMs (): number {
-    return this.rate.ratePerSecond / 1000 * (1 + this.opts.bounds.over * RATE_MARGIN_SHARE)
+    return this.rate.ratePerSecond / 1000 * (1 + this.opts.bounds.toleranceShare * RATE_MARGIN_SHARE)
   }
 
   /** Refill rate of this pool; positive, as it is used as a divisor. */
@@ -136,7 +136,7 @@
   }
 
   private get overdraft (): number {
-    return this.share * this.opts.bounds.slack * OVERDRAFT_SHARE
+    return this.share * this.opts.bounds.toleranceUnits * OVERDRAFT_SHARE
   }
 
   private applyDecay (): void {
--- a/routing/limits/src/RatePools.ts
+++ b/routing/limits/src/RatePools.ts
@@ -21,7 +21,7 @@
 const MAX_OWNER_CALLS = 3
 
 /** An instance's view of the instances that share rates. */
-export interface LimitsStanding {
+export interface LimitsMembership {
   instance: string
   /** Number of all instances that may exist, including this one and those that don't serve; undefined while unknown. */
   countInstances: () => number | undefined
@@ -33,7 +33,7 @@
 export interface RatePoolsOptions {
   clock: Clock
   network: PeerNetwork
-  standing: LimitsStanding
+  membership: LimitsMembership
   bounds: RateBounds
   /** Channel for time contributions. */
   contributions: Channel<TimeContribution>
@@ -101,26 +101,26 @@
       existing.setRate(rate)
       return existing
     }
-    const { clock, bounds, standing } = this.opts
-    const created = new RatePool({ clock, bounds, countInstances: () => standing.countInstances() ?? Infinity }, rate)
+    const { clock, bounds, membership } = this.opts
+    const created = new RatePool({ clock, bounds, countInstances: () => membership.countInstances() ?? Infinity }, rate)
     this.pools.set(name, created)
     return created
   }
 
   /** Returns units to a pool if this instance has it. */
-  giveBack (name: string, units: number): void {
-    this.pools.get(name)?.giveBack(units)
+  release (name: string, units: number): void {
+    this.pools.get(name)?.release(units)
   }
 
   get self (): string {
-    return this.opts.standing.instance
+    return this.opts.membership.instance
   }
 
   private findGroupOwner (group: number): string | undefined {
-    const { standing, clock, namespace } = this.opts
+    const { membership, clock, namespace } = this.opts
     const now = clock.readTime()
-    const others = standing.listServing().filter((instance) => (this.avoidedUntil.get(instance) ?? -Infinity) <= now)
-    return findOwner(`${namespace}/${group}`, standing.isServing() ? [this.self, ...others] : others)
+    const others = membership.listServing().filter((instance) => (this.avoidedUntil.get(instance) ?? -Infinity) <= now)
+    return findOwner(`${namespace}/${group}`, membership.isServing() ? [this.self, ...others] : others)
   }
 
   private async runContributionLoop (signal: AbortSignal): Promise<void> {
@@ -132,15 +132,15 @@
 
   /** Sends the time elapsed since the last call to the owners of the pools. */
   private sendTime (): void {
-    const { clock, standing } = this.opts
+    const { clock, membership } = this.opts
     const now = clock.readTime()
     const earnedMs = Math.min(CONTRIBUTION_EXPIRY_MS, now - this.lastContributionAt)
     const ms = earnedMs + this.lentMs
     this.lastContributionAt = now
     this.lentMs = 0
     this.removeIdlePools()
-    if (standing.countInstances() === undefined) return
-    if (standing.isServing()) this.sendToPools(ms, now)
+    if (membership.countInstances() === undefined) return
+    if (membership.isServing()) this.sendToPools(ms, now)
     else this.lend(ms, now)
   }
 
@@ -152,9 +152,9 @@
 
   /** Lends the time to a serving instance, which distributes it to the pools. */
   private lend (ms: number, now: number): void {
-    const { network, standing, contributions, mustLend } = this.opts
+    const { network, membership, contributions, mustLend } = this.opts
     if (!mustLend()) return
-    const borrower = findOwner(this.self, standing.listServing())
+    const borrower = findOwner(this.self, membership.listServing())
     if (borrower !== undefined) network.send(borrower, contributions, { kind: 'lent', sentAt: now, ms })
   }
 
--- a/routing/limits/test/LimitsSimulation.ts
+++ b/routing/limits/test/LimitsSimulation.ts
@@ -3,7 +3,7 @@
 import { FakeHub, type FakeNetwork } from '@pulleystack/membership.fake-network'
 import { CountedLimits, PooledLimits, type RateBounds, type TeamLimits } from '../src/index.js'
 
-export const BOUNDS: RateBounds = { windowMs: 8_000, over: 0.1, slack: 110_000 }
+export const BOUNDS: RateBounds = { windowMs: 8_000, toleranceShare: 0.1, toleranceUnits: 110_000 }
 const RESTART_DELAY_MS = 500
 /** Time until the failure of a link is detected. */
 const SUSPICION_DELAY_MS = 2_400
@@ -77,8 +77,8 @@
     void run.limits.acquire(this.team, units).then((verdict) => record(verdict.isGranted), () => record(false))
   }
 
-  giveBack (at: number, units: number): void {
-    this.runs.get(this.serving[at % this.serving.length] as string)?.limits.giveBack(this.team, units)
+  release (at: number, units: number): void {
+    this.runs.get(this.serving[at % this.serving.length] as string)?.limits.release(this.team, units)
   }
 
   /** Kills an instance and restarts it after `RESTART_DELAY_MS`. */
@@ -106,8 +106,8 @@
 
   /** Maximum number of units used in any window beyond a quota and its tolerance. */
   measureExcess ({ ratePerSecond, burst }: TeamQuota): number {
-    const { windowMs, over, slack } = BOUNDS
-    const allowed = (ratePerSecond * windowMs / 1000 + burst) * (1 + over) + slack
+    const { windowMs, toleranceShare, toleranceUnits } = BOUNDS
+    const allowed = (ratePerSecond * windowMs / 1000 + burst) * (1 + toleranceShare) + toleranceUnits
     const used = this.uses.map(({ at: from }) => this.uses.reduce((sum, use) => use.at >= from && use.at < from + windowMs ? sum + use.units : sum, 0))
     return Math.max(0, ...used) - allowed
   }
@@ -117,14 +117,14 @@
     const controller = new AbortController()
     const { clock } = this
     const readTable = (): RouteTable => this.table
-    const standing = {
+    const membership = {
       instance,
       countInstances: () => this.names.length,
       isServing: () => this.serving.includes(instance),
       listServing: () => network.listLinked().filter((other) => this.serving.includes(other) && !this.isSuspected(instance, other)),
     }
     const limits = (this.opts.strategy ?? Strategies.POOLED) === Strategies.POOLED
-      ? new PooledLimits({ clock, network, standing, bounds: BOUNDS, readTable })
+      ? new PooledLimits({ clock, network, membership, bounds: BOUNDS, readTable })
       : new CountedLimits({ clock, network, readTable })
     limits.start(controller.signal)
     this.runs.set(instance, { limits, network, controller })
--- a/routing/limits/test/PooledLimits.test.ts
+++ b/routing/limits/test/PooledLimits.test.ts
@@ -78,7 +78,7 @@
 
   it('is not exceeded with lost and duplicated messages', async () => {
     const simulation = new LimitsSimulation(INSTANCES, createQuota(SMALL_RATE))
-    Object.assign(simulation.hub, { lossShare: 0.1, repeatShare: 0.1, maxDelayMs: 150 })
+    Object.assign(simulation.hub, { lossProbability: 0.1, duplicateProbability: 0.1, maxDelayMs: 150 })
     await simulation.clock.advance(WARM_UP_MS)
     await simulateTraffic(simulation, { rate: SMALL_RATE, units: REQUEST_TOKENS, share: 7, seconds: 20, seed: 1 })
     assert.ok(simulation.measureExcess(createQuota(SMALL_RATE)) <= 0)
@@ -135,7 +135,7 @@
     for (let at = 0; at < 40; at++) {
       simulation.request(at, REQUEST_TOKENS, (isGranted) => {
         if (isGranted) granted++
-        if (isGranted) simulation.giveBack(at, REQUEST_TOKENS)
+        if (isGranted) simulation.release(at, REQUEST_TOKENS)
       })
       await simulation.clock.advance(20)
     }
@@ -181,7 +181,7 @@
   const simulate = async (strategy: Strategy, seed: number, { name, share, everyMs, inject }: Fault): Promise<LimitsSimulation> => {
     const simulation = new LimitsSimulation({ ...INSTANCES, seed, strategy }, createQuota(LARGE_RATE))
     await simulation.clock.advance(WARM_UP_MS)
-    const before = simulation.hub.messages
+    const before = simulation.hub.messageCount
     const onMs = (ms: number): void => {
       if (ms % everyMs === 0) inject(simulation)
     }
@@ -189,7 +189,7 @@
     if (process.env['PULLEYSTACK_FIGURES'] !== undefined) {
       const used = simulation.uses.reduce((sum, use) => sum + use.units, 0) / LARGE_RATE / SECONDS
       const excess = Math.round(simulation.measureExcess(createQuota(LARGE_RATE)))
-      console.log(`${name}: ${strategy}, seed ${seed}: used ${used.toFixed(2)} of the rate, rejected ${simulation.rejected}, over by ${excess}, ${Math.round((simulation.hub.messages - before) / SECONDS)} messages a second`)
+      console.log(`${name}: ${strategy}, seed ${seed}: used ${used.toFixed(2)} of the rate, rejected ${simulation.rejected}, over by ${excess}, ${Math.round((simulation.hub.messageCount - before) / SECONDS)} messages a second`)
     }
     return simulation
   }
--- a/routing/permits/src/ServerPermits.ts
+++ b/routing/permits/src/ServerPermits.ts
@@ -1,7 +1,7 @@
 import type { Clock, RandomSource } from '@pulleystack/core.clock'
 import { defineChannel, type PeerNetwork } from '@pulleystack/membership.peers'
 import { formatIncarnation, type Backend, type BackendFleet, type ServerIncarnation, type ReportedStatus } from '@pulleystack/routing.fleet'
-import { RatePools, type LimitsStanding, type PooledRate, type RateGrant, type TimeContribution } from '@pulleystack/routing.limits'
+import { RatePools, type LimitsMembership, type PooledRate, type RateGrant, type TimeContribution } from '@pulleystack/routing.limits'
 
 /** Requests permits from the owner of a server's pool; `perSecond` is the limit that the requesting instance knows. */
 interface PermitRequest {
@@ -12,7 +12,7 @@
 
 const TIME_CONTRIBUTIONS = defineChannel<TimeContribution>('permits.earned')
 const ACQUIRE = defineChannel<PermitRequest, RateGrant>('permits.asked')
-const UNUSED_PERMITS = defineChannel<{ life: ServerIncarnation, count: number }>('permits.given-back', { isOnce: true })
+const UNUSED_PERMITS = defineChannel<{ life: ServerIncarnation, count: number }>('permits.given-back', { isOneShot: true })
 
 const OWNER_TIMEOUT_MS = 250
 /** Permits not used within this time are returned to the pool. */
@@ -30,13 +30,13 @@
 /** An instance on standby lends its time for this long after the last notice of a limit; active limits are announced twice in this period. */
 const LEND_DURATION_MS = 75_000
 /** The window in which the platform counts requests; the tolerance compensates for lost time contributions. */
-const BOUNDS = { windowMs: 4_000, over: 0.2, slack: 0 }
+const BOUNDS = { windowMs: 4_000, toleranceShare: 0.2, toleranceUnits: 0 }
 
 export interface ServerPermitsOptions {
   clock: Clock
   random: RandomSource
   network: PeerNetwork
-  standing: LimitsStanding
+  membership: LimitsMembership
   fleet: BackendFleet
   /** Called when more requests may be sent to a server, or permits may be requested again. */
   onChange: () => void
@@ -64,7 +64,7 @@
   start (signal: AbortSignal): void {
     const { network } = this.opts
     network.handleCalls(ACQUIRE, (_, request) => this.takeLocally(request))
-    const subscription = network.receive(UNUSED_PERMITS).subscribe(({ body }) => this.pools.giveBack(formatIncarnation(body.life), body.count))
+    const subscription = network.receive(UNUSED_PERMITS).subscribe(({ body }) => this.pools.release(formatIncarnation(body.life), body.count))
     signal.addEventListener('abort', () => subscription.unsubscribe(), { once: true })
     this.pools.start(signal)
   }
@@ -83,7 +83,7 @@
   }
 
   /** Returns permits of requests that were not sent. */
-  giveBack ({ reported }: Backend, count: number): void {
+  release ({ reported }: Backend, count: number): void {
     this.releaseToPool(reported, count)
   }
 
@@ -125,7 +125,7 @@
   private releaseToPool ({ incarnation }: ReportedStatus, count: number): void {
     const name = formatIncarnation(incarnation)
     const owner = this.pools.findOwner(name)
-    if (owner === this.pools.self) this.pools.giveBack(name, count)
+    if (owner === this.pools.self) this.pools.release(name, count)
     else if (owner !== undefined) this.opts.network.send(owner, UNUSED_PERMITS, { life: incarnation, count })
   }
 
--- a/routing/permits/test/PermitStrategy.ts
+++ b/routing/permits/test/PermitStrategy.ts
@@ -1,7 +1,7 @@
 import type { Clock, RandomSource } from '@pulleystack/core.clock'
 import { defineChannel, type PeerNetwork } from '@pulleystack/membership.peers'
 import type { Backend, BackendFleet } from '@pulleystack/routing.fleet'
-import { RatePools, type LimitsStanding, type RateGrant, type TimeContribution } from '@pulleystack/routing.limits'
+import { RatePools, type LimitsMembership, type RateGrant, type TimeContribution } from '@pulleystack/routing.limits'
 import { RetryBudgets } from '@pulleystack/routing.retries'
 import { ServerPermits } from '../src/index.js'
 
@@ -9,7 +9,7 @@
   clock: Clock
   random: RandomSource
   network: PeerNetwork
-  standing: LimitsStanding
+  membership: LimitsMembership
   fleet: BackendFleet
   /** Whether the instance had a previous process run. */
   isRestarted: boolean
@@ -61,11 +61,11 @@
 
   constructor (private readonly opts: PermitStrategyOptions) {
     super()
-    const standing = { ...opts.standing, countInstances: () => 1 }
+    const membership = { ...opts.membership, countInstances: () => 1 }
     const listRates = (): Map<string, ReturnType<SingleOwnerStrategy['readRate']>> =>
       this.pools.findOwner(SERVER) === this.pools.self ? new Map([[SERVER, this.readRate()]]) : new Map()
-    const bounds = { windowMs: 4_000, over: 0, slack: 0 }
-    this.pools = new RatePools({ ...opts, standing, bounds, contributions: OWNED_TIME_CONTRIBUTIONS, namespace: 'owned', listRates, mustLend: () => false })
+    const bounds = { windowMs: 4_000, toleranceShare: 0, toleranceUnits: 0 }
+    this.pools = new RatePools({ ...opts, membership, bounds, contributions: OWNED_TIME_CONTRIBUTIONS, namespace: 'owned', listRates, mustLend: () => false })
   }
 
   override start (signal: AbortSignal): void {
@@ -112,16 +112,16 @@
 
   constructor (private readonly opts: PermitStrategyOptions, maxPerWindow: number, windowMs: number) {
     super()
-    const { clock, network, standing, isRestarted } = opts
+    const { clock, network, membership, isRestarted } = opts
     const startedAt = clock.readTime()
     const readUptimeMs = (): number => isRestarted ? clock.readTime() - startedAt : Infinity
-    const countInstances = (): number => standing.listServing().length + 1
+    const countInstances = (): number => membership.listServing().length + 1
     this.budgets = new RetryBudgets({
       clock,
       network,
-      standing: { countInstances, readSharingMs: readUptimeMs, readLifeMs: readUptimeMs, listPeers: standing.listServing },
+      membership: { countInstances, readServingMs: readUptimeMs, readRunMs: readUptimeMs, listPeers: membership.listServing },
       ratio: 0,
-      extra: maxPerWindow,
+      fixedAllowance: maxPerWindow,
       windowMs,
     })
   }
@@ -131,7 +131,7 @@
   }
 
   override take ({ id }: Backend): boolean {
-    this.budgets.noteRequest(id)
+    this.budgets.recordRequest(id)
     return this.budgets.find(id).take()
   }
 
--- a/routing/permits/test/PermitsBench.ts
+++ b/routing/permits/test/PermitsSimulation.ts
@@ -161,7 +161,7 @@
     const isServing = this.serving.includes(instance)
     // An instance on standby doesn't follow the store and knows no servers.
     if (isServing) fleet.put({ id: SERVER, service: 's', address: 'a:1', dataHall: 'z', slots: 99, draining: false, models: undefined, inMemory: [], onDisk: [] })
-    const standing = {
+    const membership = {
       instance,
       countInstances: () => this.names.length,
       isServing: () => isServing,
@@ -169,7 +169,7 @@
     }
     const random = new RandomSource(this.names.indexOf(instance))
     const isRestarted = this.clock.readTime() > 0
-    const permits = this.createStrategy({ clock, random, network, fleet, standing, isRestarted, onChange: () => this.sendWaiting(instance) })
+    const permits = this.createStrategy({ clock, random, network, fleet, membership, isRestarted, onChange: () => this.sendWaiting(instance) })
     permits.start(controller.signal)
     const listStandby = (): string[] => isServing ? network.listLinked().filter((other) => !this.serving.includes(other)) : []
     shareLimits({ clock, network, fleet, listStandby, onPeerLimit: () => undefined }, controller.signal)
--- a/routing/permits/test/ServerPermits.test.ts
+++ b/routing/permits/test/ServerPermits.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test'
 import { RandomSource } from '@pulleystack/core.clock'
 import fc from 'fast-check'
-import { RECONNECT_GRACE_MS, PermitsSimulation, Strategies, type Strategy } from './PermitsBench.js'
+import { RECONNECT_GRACE_MS, PermitsSimulation, Strategies, type Strategy } from './PermitsSimulation.js'
 
 const INSTANCES = { serving: 8, standby: 6 }
 const LIMITS = [0, 0.5, 1, 4, 20]
@@ -62,7 +62,7 @@
 
   it('stay within the limit and remain available with lost and duplicated messages', async () => {
     const simulation = new PermitsSimulation(INSTANCES, 4)
-    Object.assign(simulation.hub, { lossShare: 0.1, repeatShare: 0.1, maxDelayMs: 150 })
+    Object.assign(simulation.hub, { lossProbability: 0.1, duplicateProbability: 0.1, maxDelayMs: 150 })
     await simulation.clock.advance(WARM_UP_MS)
     await simulateTraffic(simulation, { perSecond: 40, seconds: DURATION_S, instances: 8 })
     assert.ok(simulation.measureExcess(4) <= 0)
@@ -122,14 +122,14 @@
   const simulate = async (strategy: Strategy, limit: number, { name, instances, everyMs, inject }: Fault): Promise<{ share: number, excess: number }> => {
     const simulation = new PermitsSimulation({ ...INSTANCES, strategy }, limit)
     await simulation.clock.advance(WARM_UP_MS)
-    const before = simulation.hub.messages
+    const before = simulation.hub.messageCount
     for (let ms = 0; ms < DURATION_S * 1_000; ms += 500) {
       if (ms > 0 && ms % everyMs === 0) inject(simulation)
       await simulateTraffic(simulation, { perSecond: 10 * limit, seconds: 0.5, instances })
     }
     const share = simulation.sends.length / DURATION_S / limit
     const excess = simulation.measureExcess(limit)
-    const messages = Math.round((simulation.hub.messages - before) / DURATION_S)
+    const messages = Math.round((simulation.hub.messageCount - before) / DURATION_S)
     if (process.env['PULLEYSTACK_FIGURES'] !== undefined) console.log(`${strategy}, limit ${limit}, ${name}: ${share.toFixed(2)} of the limit, over by ${excess}, ${messages} messages a second`)
     return { share, excess }
   }
--- a/routing/picker/src/CostPicker.ts
+++ b/routing/picker/src/CostPicker.ts
@@ -50,7 +50,7 @@
   // Each request slows the batch slightly even when slots are free; this also separates lightly loaded servers.
   const batchSlowdownMs = load / server.slots * server.serviceMs * 0.1
   const prefillMs = (blocks.length - server.countMatching(blocks)) * server.prefillMsPerBlock
-  return waitMs + batchSlowdownMs + prefillMs + server.hopMs
+  return waitMs + batchSlowdownMs + prefillMs + server.networkMs
 }
 
 function findByHash<T extends Pickable> (candidates: readonly T[], key: string): T[] {
--- a/routing/picker/src/Picker.ts
+++ b/routing/picker/src/Picker.ts
@@ -6,7 +6,7 @@
   readonly prefillMsPerBlock: number
   estimateLoad (): number
   /** Network latency to the server in milliseconds. */
-  readonly hopMs: number
+  readonly networkMs: number
   countMatching (blocks: readonly number[]): number
 }
 
--- a/routing/picker/src/baselines.ts
+++ b/routing/picker/src/baselines.ts
@@ -22,7 +22,7 @@
 }
 
 /** Picks the lowest estimated load. With delayed reports, instances tend to pick the same server. */
-export class LeastReportedPicker extends Picker {
+export class LeastLoadPicker extends Picker {
   pick<T extends Pickable> (candidates: readonly T[]): T {
     return candidates.reduce((best, it) => it.estimateLoad() < best.estimateLoad() ? it : best)
   }
--- a/routing/picker/src/index.ts
+++ b/routing/picker/src/index.ts
@@ -1,4 +1,4 @@
 export { Picker } from './Picker.js'
 export type { PickRequest, Pickable } from './Picker.js'
 export { CostPicker } from './CostPicker.js'
-export { LeastReportedPicker, RandomPicker, RoundRobinPicker } from './baselines.js'
+export { LeastLoadPicker, RandomPicker, RoundRobinPicker } from './baselines.js'
--- a/routing/quarantine/src/LoneRunRule.ts
+++ b/routing/quarantine/src/ExclusiveRunRule.ts
@@ -12,12 +12,12 @@
  * Rejects a request only after it has crashed a server in an exclusive run with no other suspect on that server, or in two exclusive runs. A request that
  * many clients send, and whose servers crashed for another reason, gets one exclusive run and is cleared when that succeeds.
  */
-export class LoneRunRule extends SuspectRule {
+export class ExclusiveRunRule extends SuspectRule {
   override judge (suspect: Suspect, evidence: SuspectEvidence): Verdict {
     const uncleared = suspect.listUncleared()
-    if (uncleared.length === 0 || isTrusted(suspect)) return Verdicts.FREE
-    if (uncleared.length === 1) return Verdicts.WATCHED
-    return isConfirmed(uncleared, evidence) && evidence.now < suspect.lastCrashAt + computeRejectionMs(uncleared) ? Verdicts.REFUSED : Verdicts.ALONE
+    if (uncleared.length === 0 || isTrusted(suspect)) return Verdicts.ALLOWED
+    if (uncleared.length === 1) return Verdicts.TRACKED
+    return isConfirmed(uncleared, evidence) && evidence.now < suspect.lastCrashAt + computeRejectionMs(uncleared) ? Verdicts.REJECTED : Verdicts.EXCLUSIVE
   }
 }
 
--- a/routing/quarantine/src/Quarantine.ts
+++ b/routing/quarantine/src/Quarantine.ts
@@ -19,9 +19,9 @@
 }
 
 // A lost update isn't repeated by later ones.
-const UPDATES = defineChannel<SuspectUpdate[]>('quarantine.news', { isOnce: true })
+const UPDATES = defineChannel<SuspectUpdate[]>('quarantine.news', { isOneShot: true })
 const LEASE = defineChannel<LeaseRequest, LeaseResponse>('quarantine.lease')
-const LEASE_ENDED = defineChannel<{ identity: string, lease: string }>('quarantine.lease-ended', { isOnce: true })
+const LEASE_ENDED = defineChannel<{ identity: string, lease: string }>('quarantine.lease-ended', { isOneShot: true })
 
 const LEASE_TIMEOUT_MS = 250
 /** Requests wait at most this long for the stored suspects; after that they run without them. */
@@ -37,7 +37,7 @@
 const MAX_SENT_SUSPECTS = 512
 
 /** An instance's view of the instances that send requests to backend servers. */
-export interface QuarantineStanding {
+export interface QuarantineMembership {
   instance: string
   /** The other instances that serve and have a live link. */
   listServing: () => readonly string[]
@@ -46,7 +46,7 @@
 export interface QuarantineOptions {
   clock: Clock
   network: PeerNetwork
-  standing: QuarantineStanding
+  membership: QuarantineMembership
   rule: SuspectRule
   log?: DecisionLog
   /** Persists suspects that need an exclusive run or are rejected; undefined when nothing is persisted. */
@@ -82,7 +82,7 @@
     this.table = new SuspectTable(opts.rule, () => opts.clock.readTime())
     this.leases = new RunLeases(opts.clock)
     const { clock, store } = opts
-    const sources = { judge: (identity: string) => this.judge(identity), listCrashes: (identity: string) => this.listEnds(identity) }
+    const sources = { judge: (identity: string) => this.judge(identity), listCrashes: (identity: string) => this.listCrashes(identity) }
     this.archive = store && new SuspectArchive({ clock, store, ...sources })
   }
 
@@ -97,7 +97,7 @@
   }
 
   /** Server crashes during a request since its last successful run. */
-  listEnds (identity: string): ServerCrash[] {
+  listCrashes (identity: string): ServerCrash[] {
     return this.table.find(identity)?.listUncleared() ?? []
   }
 
@@ -133,8 +133,8 @@
     const deadline = clock.readTime() + Math.min(MAX_LEASE_WAIT_MS, forMs)
     for (;;) {
       const verdict = this.judge(identity)
-      if (verdict === Verdicts.REFUSED) return undefined
-      const run = verdict === Verdicts.FREE ? UNTRACKED_RUN : await this.tryAcquire(identity, { forMs, mustBeOnly: verdict === Verdicts.ALONE })
+      if (verdict === Verdicts.REJECTED) return undefined
+      const run = verdict === Verdicts.ALLOWED ? UNTRACKED_RUN : await this.tryAcquire(identity, { forMs, mustBeOnly: verdict === Verdicts.EXCLUSIVE })
       if (run) return run
       if (clock.readTime() >= deadline || signal.aborted) return undefined
       await this.waitForChange(identity)
@@ -147,12 +147,12 @@
   }
 
   /** Records that a server crashed during a request. */
-  noteServerEnd (identity: string, crash: ServerCrash): void {
+  recordCrash (identity: string, crash: ServerCrash): void {
     this.announce(identity, this.table.apply({ identity, ends: [crash], cleared: [] }))
   }
 
   /** Records a successful run of a request. */
-  noteGoodEnd (identity: string): void {
+  recordSuccess (identity: string): void {
     this.announce(identity, this.table.recordSuccess(identity))
   }
 
@@ -164,15 +164,15 @@
   }
 
   private followEpochs (signal: AbortSignal): Subscription[] {
-    const restores = this.opts.store?.epochs.changes.pipe(filter(({ former }) => former !== undefined))
+    const restores = this.opts.store?.epochs.changes.pipe(filter(({ previous }) => previous !== undefined))
     return restores ? [restores.subscribe(() => void this.restoreRecent(signal))] : []
   }
 
   /** Writes recent suspects again after the store was restored from an older snapshot; each is written by its owner, as the first writer may be gone. */
   private async restoreRecent (signal: AbortSignal): Promise<void> {
-    const { clock, standing } = this.opts
+    const { clock, membership } = this.opts
     const oldestAt = clock.readTime() - LONGEST_LOSS_MS
-    const recent = this.table.list().filter(({ identity, lastCrashAt }) => lastCrashAt >= oldestAt && this.findOwner(identity) === standing.instance)
+    const recent = this.table.list().filter(({ identity, lastCrashAt }) => lastCrashAt >= oldestAt && this.findOwner(identity) === membership.instance)
     for (const { identity } of recent) {
       await this.archive?.storeWithRetries(identity, signal)
       this.opts.log?.record(DecisionKinds.RECORD_RESTORED, { record: 'suspect', key: identity })
@@ -181,7 +181,7 @@
 
   /** The instance that grants leases for a request. */
   private findOwner (identity: string): string {
-    const { instance, listServing } = this.opts.standing
+    const { instance, listServing } = this.opts.membership
     return findOwner(`suspects/${identity}`, [instance, ...listServing()]) ?? instance
   }
 
@@ -194,7 +194,7 @@
   }
 
   private async tryAcquire (identity: string, { forMs, mustBeOnly }: { forMs: number, mustBeOnly: boolean }): Promise<SuspectRun | undefined> {
-    const lease = `${this.opts.standing.instance}/${this.nextLease++}`
+    const lease = `${this.opts.membership.instance}/${this.nextLease++}`
     const owner = this.findOwner(identity)
     const answer = await this.askOwner(owner, { identity, lease, forMs, mustBeOnly })
     // If the owner doesn't respond, the request runs without a lease unless it needs an exclusive run.
@@ -217,7 +217,7 @@
   }
 
   private async askOwner (owner: string, request: LeaseRequest): Promise<LeaseResponse | undefined> {
-    if (owner === this.opts.standing.instance) return this.handleLeaseRequest(request)
+    if (owner === this.opts.membership.instance) return this.handleLeaseRequest(request)
     const answer = await this.opts.network.call(owner, LEASE, request, LEASE_TIMEOUT_MS)
     return answer.unwrapOr(undefined)
   }
@@ -225,12 +225,12 @@
   /** Decides as the owner of a request, which may have a record of more crashes than the requesting instance. */
   private handleLeaseRequest ({ identity, lease, forMs, mustBeOnly }: LeaseRequest): LeaseResponse {
     const verdict = this.judge(identity)
-    if (verdict === Verdicts.REFUSED) return { isGranted: false, isOnly: false }
-    return this.leases.acquire(identity, lease, { forMs, mustBeOnly: mustBeOnly || verdict === Verdicts.ALONE })
+    if (verdict === Verdicts.REJECTED) return { isGranted: false, isOnly: false }
+    return this.leases.acquire(identity, lease, { forMs, mustBeOnly: mustBeOnly || verdict === Verdicts.EXCLUSIVE })
   }
 
   private releaseLease (owner: string, identity: string, lease: string): void {
-    if (owner === this.opts.standing.instance) this.leases.release(identity, lease)
+    if (owner === this.opts.membership.instance) this.leases.release(identity, lease)
     else this.opts.network.send(owner, LEASE_ENDED, { identity, lease })
   }
 
@@ -257,7 +257,7 @@
   private updateArchive (identity: string, signal: AbortSignal): void {
     const { archive } = this
     const verdict = this.judge(identity)
-    if (verdict === Verdicts.ALONE || verdict === Verdicts.REFUSED) void archive?.storeIfChanged(identity, signal)
-    else if (this.listEnds(identity).length === 0) void archive?.remove(identity)
+    if (verdict === Verdicts.EXCLUSIVE || verdict === Verdicts.REJECTED) void archive?.storeIfChanged(identity, signal)
+    else if (this.listCrashes(identity).length === 0) void archive?.remove(identity)
   }
 }
--- a/routing/quarantine/src/SuspectArchive.ts
+++ b/routing/quarantine/src/SuspectArchive.ts
@@ -98,5 +98,5 @@
 
 /** Whether requests with this verdict must survive a restart of all instances. */
 function mustStore (verdict: Verdict): boolean {
-  return verdict === Verdicts.ALONE || verdict === Verdicts.REFUSED
+  return verdict === Verdicts.EXCLUSIVE || verdict === Verdicts.REJECTED
 }
--- a/routing/quarantine/src/SuspectRule.ts
+++ b/routing/quarantine/src/SuspectRule.ts
@@ -3,12 +3,12 @@
 /** Whether and how a request may run. */
 export const Verdicts = {
   /** Without restrictions. */
-  FREE: 'free',
+  ALLOWED: 'free',
   /** Preferably on a server without other suspects; its runs are counted across all instances. */
-  WATCHED: 'watched',
+  TRACKED: 'watched',
   /** Only while no other run of it is in progress, and on a server without another suspect. */
-  ALONE: 'alone',
-  REFUSED: 'refused',
+  EXCLUSIVE: 'alone',
+  REJECTED: 'refused',
 } as const
 export type Verdict = typeof Verdicts[keyof typeof Verdicts]
 
--- a/routing/quarantine/src/SuspectTable.ts
+++ b/routing/quarantine/src/SuspectTable.ts
@@ -26,7 +26,7 @@
 
   judge (identity: string): Verdict {
     const suspect = this.suspects.get(identity)
-    if (!suspect) return Verdicts.FREE
+    if (!suspect) return Verdicts.ALLOWED
     return this.rule.judge(suspect, { now: this.readTime(), isShared: (crash) => this.isShared(identity, crash) })
   }
 
@@ -54,7 +54,7 @@
   removeOlder (maxAgeMs: number): void {
     const oldestAllowed = this.readTime() - maxAgeMs
     for (const { identity, lastCrashAt } of this.list()) {
-      if (lastCrashAt < oldestAllowed && this.judge(identity) !== Verdicts.REFUSED) this.remove(identity)
+      if (lastCrashAt < oldestAllowed && this.judge(identity) !== Verdicts.REJECTED) this.remove(identity)
     }
   }
 
@@ -78,7 +78,7 @@
 
   private dropOldest (): void {
     if (this.suspects.size <= MAX_SUSPECTS) return
-    const oldest = [...this.suspects.keys()].find((identity) => this.judge(identity) !== Verdicts.REFUSED) ?? this.suspects.keys().next().value
+    const oldest = [...this.suspects.keys()].find((identity) => this.judge(identity) !== Verdicts.REJECTED) ?? this.suspects.keys().next().value
     if (oldest !== undefined) this.remove(oldest)
   }
 
--- a/routing/quarantine/test/Quarantine.test.ts
+++ b/routing/quarantine/test/Quarantine.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict'
 import { beforeEach, describe, it } from 'node:test'
 import fc from 'fast-check'
-import { LoneRunRule, Verdicts } from '../src/index.js'
+import { ExclusiveRunRule, Verdicts } from '../src/index.js'
 import { SuspectTable } from '../src/SuspectTable.js'
-import { QuarantineBench, type Scenario } from './QuarantineBench.js'
+import { QuarantineSimulation, type Scenario } from './QuarantineSimulation.js'
 
 /** Allowed arrivals more than 3 s after the third crash. */
 const MAX_LATE_ARRIVALS = 3
@@ -13,7 +13,7 @@
 const LOOKUPS: Scenario = { instances: 5, servers: 8, lastsMs: 10_000, rate: 60, runMs: 30, sameShare: 0.5 }
 const STREAMS: Scenario = { ...LOOKUPS, runMs: 2_000 }
 
-const simulate = (scenario: Scenario, seed: number) => new QuarantineBench(scenario, new LoneRunRule(), seed).play()
+const simulate = (scenario: Scenario, seed: number) => new QuarantineSimulation(scenario, new ExclusiveRunRule(), seed).play()
 
 describe('a request that crashes servers', () => {
   const SEEDS = [1, 2, 3]
@@ -37,9 +37,9 @@
   // Guards against a poison request that is lost with the store's newer state while the instance that wrote it is gone.
   it('is written again after the store was restored from an older snapshot', async () => {
     const KEY = 'suspects/poison'
-    const simulation = new QuarantineBench(LOOKUPS, new LoneRunRule(), 1)
+    const simulation = new QuarantineSimulation(LOOKUPS, new ExclusiveRunRule(), 1)
     const readVersion = async (): Promise<number> => (await simulation.store.readObject(KEY))._unsafeUnwrap()?.version ?? 0
-    simulation.store.epochs.note(1)
+    simulation.store.epochs.record(1)
     while (await readVersion() === 0) {
       void simulation.sendPoison(0)
       await simulation.clock.advance(1_000)
@@ -47,7 +47,7 @@
     simulation.restart(0)
     await simulation.clock.advance(1_000)
     await simulation.store.deleteObject(KEY, await readVersion())
-    simulation.store.epochs.note(2)
+    simulation.store.epochs.record(2)
     await simulation.clock.advance(1_000)
     assert.notEqual(await readVersion(), 0)
   })
@@ -67,7 +67,7 @@
 
   it('reaches few servers in any sequence of bursts and instance restarts', async () => {
     await fc.assert(fc.asyncProperty(fc.array(step, { minLength: 10, maxLength: 40 }), async (steps) => {
-      const simulation = new QuarantineBench(LOOKUPS, new LoneRunRule(), 1)
+      const simulation = new QuarantineSimulation(LOOKUPS, new ExclusiveRunRule(), 1)
       let maxBatch = 0
       for (const each of steps) {
         if (each.kind === 'pass') await simulation.clock.advance(each.ms)
@@ -116,13 +116,13 @@
 
   beforeEach(() => {
     now = 0
-    table = new SuspectTable(new LoneRunRule(), () => now)
+    table = new SuspectTable(new ExclusiveRunRule(), () => now)
   })
 
   it('removes old suspects except rejected ones', () => {
     table.apply(createUpdate('unrelated', false, 's1'))
     table.apply(createUpdate('poison', true, 's1', 's2'))
-    assert.equal(table.judge('poison'), Verdicts.REFUSED)
+    assert.equal(table.judge('poison'), Verdicts.REJECTED)
     now = 2_000
     table.removeOlder(1_000)
     assert.deepEqual(table.list().map(({ identity }) => identity), ['poison'])
@@ -132,37 +132,37 @@
     table.apply(createUpdate('poison', true, 's1', 's2'))
     for (let at = 0; at < 5_000; at++) table.apply(createUpdate(`i${at}`, false, 's3'))
     assert.equal(table.size, 4_096)
-    assert.equal(table.judge('poison'), Verdicts.REFUSED)
+    assert.equal(table.judge('poison'), Verdicts.REJECTED)
   })
 
   it('distinguishes a request that ran alone from two that ran together at each crash', () => {
     table.apply(createUpdate('one', true, 's1', 's2'))
     table.apply(createUpdate('other', true, 's1', 's2'))
-    assert.deepEqual(['one', 'other'].map((identity) => table.judge(identity)), [Verdicts.REFUSED, Verdicts.REFUSED])
-    table = new SuspectTable(new LoneRunRule(), () => now)
+    assert.deepEqual(['one', 'other'].map((identity) => table.judge(identity)), [Verdicts.REJECTED, Verdicts.REJECTED])
+    table = new SuspectTable(new ExclusiveRunRule(), () => now)
     for (const identity of ['one', 'other']) {
       table.apply(createUpdate(identity, false, 's1'))
       table.apply(createUpdate(identity, true, 's2'))
     }
-    assert.deepEqual(['one', 'other'].map((identity) => table.judge(identity)), [Verdicts.ALONE, Verdicts.ALONE])
+    assert.deepEqual(['one', 'other'].map((identity) => table.judge(identity)), [Verdicts.EXCLUSIVE, Verdicts.EXCLUSIVE])
     table.apply(createUpdate('one', true, 's3'))
-    assert.deepEqual(['one', 'other'].map((identity) => table.judge(identity)), [Verdicts.REFUSED, Verdicts.ALONE])
+    assert.deepEqual(['one', 'other'].map((identity) => table.judge(identity)), [Verdicts.REJECTED, Verdicts.EXCLUSIVE])
   })
 
   it('clears a request after a successful run, and never restricts one that mostly succeeds', () => {
     table.apply(createUpdate('frequent', false, 's1', 's2', 's3'))
-    assert.equal(table.judge('frequent'), Verdicts.ALONE)
+    assert.equal(table.judge('frequent'), Verdicts.EXCLUSIVE)
     assert.equal(table.recordSuccess('frequent'), true)
-    assert.equal(table.judge('frequent'), Verdicts.FREE)
+    assert.equal(table.judge('frequent'), Verdicts.ALLOWED)
     for (let at = 0; at < 50; at++) table.recordSuccess('frequent')
     table.apply(createUpdate('frequent', false, 's4', 's5'))
-    assert.equal(table.judge('frequent'), Verdicts.FREE)
+    assert.equal(table.judge('frequent'), Verdicts.ALLOWED)
   })
 
   it('gives the same result for updates in any order and with repetitions', () => {
     const updates = [createUpdate('q', true, 's1'), createUpdate('q', false, 's2'), { identity: 'q', ends: [], cleared: ['s1'] }]
     fc.assert(fc.property(fc.shuffledSubarray([0, 1, 2, 0, 1, 2], { minLength: 6 }), (order) => {
-      const received = new SuspectTable(new LoneRunRule(), () => 0)
+      const received = new SuspectTable(new ExclusiveRunRule(), () => 0)
       for (const at of order) received.apply(updates[at] as typeof updates[number])
       assert.deepEqual(received.find('q')?.listUncleared().map(({ life }) => life), ['s2'])
     }), { seed: 45 })
--- a/routing/quarantine/test/QuarantineBench.ts
+++ b/routing/quarantine/test/QuarantineSimulation.ts
@@ -67,7 +67,7 @@
 }
 
 /** Simulates instances and backend servers under one rule; the same seed gives the same arrivals for every rule. */
-export class QuarantineBench {
+export class QuarantineSimulation {
   readonly clock = new ManualClock()
   readonly outcome: ScenarioOutcome = { endedByLethal: 0, laterArrivals: 0, innocent: 0, refusedWrongly: 0, lost: 0 }
   readonly hub: FakeHub
@@ -141,13 +141,13 @@
       const run = await quarantine.acquire(identity, this.scenario.runMs * 2, NEVER_ABORTED)
       if (!run) return 'rejected'
       const verdict = quarantine.judge(identity)
-      const server = await this.waitForServer(verdict === Verdicts.ALONE)
+      const server = await this.waitForServer(verdict === Verdicts.EXCLUSIVE)
       if (!server) {
         run.release()
         return 'failed'
       }
       onArrival()
-      const isSuccess = await this.runOnServer(server, { identity, isSuspect: verdict !== Verdicts.FREE })
+      const isSuccess = await this.runOnServer(server, { identity, isSuspect: verdict !== Verdicts.ALLOWED })
       this.reportOutcome(quarantine, { identity, run, isSuccess, life: server.incarnation })
       if (isSuccess) return 'served'
     }
@@ -158,8 +158,8 @@
     quarantine: Quarantine,
     { identity, run, isSuccess, life }: { identity: string, run: SuspectRun, isSuccess: boolean, life: string },
   ): void {
-    if (isSuccess) quarantine.noteGoodEnd(identity)
-    else quarantine.noteServerEnd(identity, { life, wasOnlyRun: run.isOnly })
+    if (isSuccess) quarantine.recordSuccess(identity)
+    else quarantine.recordCrash(identity, { life, wasOnlyRun: run.isOnly })
     run.release()
   }
 
@@ -228,8 +228,8 @@
     const identity = createIdentity(name)
     const network = this.hub.createNode(identity)
     const controller = new AbortController()
-    const standing = { instance: name, listServing: () => network.listLinked() }
-    const quarantine = new Quarantine({ clock: this.clock, network, standing, rule: this.rule, store: this.store })
+    const membership = { instance: name, listServing: () => network.listLinked() }
+    const quarantine = new Quarantine({ clock: this.clock, network, membership, rule: this.rule, store: this.store })
     quarantine.start(controller.signal)
     return { name, quarantine, controller }
   }
--- a/routing/queue/src/WorkQueue.ts
+++ b/routing/queue/src/WorkQueue.ts
@@ -81,7 +81,7 @@
   }
 
   /** Grants free slots to waiting requests in order of precedence. */
-  pump (): void {
+  serveWaiting (): void {
     if (this.isPumping) return
     this.isPumping = true
     try {
--- a/routing/queue/test/WorkQueue.test.ts
+++ b/routing/queue/test/WorkQueue.test.ts
@@ -36,7 +36,7 @@
 
   async addSlots (slots: number): Promise<void> {
     this.freeSlots += slots
-    this.queue.pump()
+    this.queue.serveWaiting()
     await this.clock.advance(0)
   }
 }
--- a/routing/retries/src/OutlierDetector.ts
+++ b/routing/retries/src/OutlierDetector.ts
@@ -10,13 +10,13 @@
   private ejectedUntil = 0
 
   /** Counts a success; successes gradually cancel earlier ejections. */
-  noteSuccess (): void {
+  recordSuccess (): void {
     this.failures = 0
     if (this.ejections > 0) this.ejections -= 0.1
   }
 
   /** Counts a failure; returns true when it caused an ejection. */
-  noteFailure (now: number, jitter: number): boolean {
+  recordFailure (now: number, jitter: number): boolean {
     this.failures++
     if (this.failures < CONSECUTIVE_FAILURES || this.isEjected(now)) return false
     this.failures = 0
--- a/routing/retries/src/RetryBudget.ts
+++ b/routing/retries/src/RetryBudget.ts
@@ -11,7 +11,7 @@
   private balance = INITIAL_BALANCE
 
   /** Counts a first attempt. */
-  noteRequest (): void {
+  recordRequest (): void {
     this.balance = Math.min(MAX_BALANCE, this.balance + RETRY_RATIO)
   }
 
@@ -24,7 +24,7 @@
   }
 
   /** Returns a retry that was taken and not used. */
-  giveBack (): void {
+  release (): void {
     this.balance = Math.min(MAX_BALANCE, this.balance + 1)
   }
 }
--- a/routing/retries/src/RetryBudgets.ts
+++ b/routing/retries/src/RetryBudgets.ts
@@ -21,13 +21,13 @@
 const PREVIOUS_RUN_WINDOWS = 1.1
 
 /** An instance's view of the instances that share its budgets. */
-export interface BudgetStanding {
+export interface BudgetMembership {
   /** Number of instances that share the budgets, including this one. */
   countInstances: () => number
   /** Milliseconds for which this process has shared them; infinite when all instances started together; 0 while unknown. */
-  readSharingMs: () => number
+  readServingMs: () => number
   /** Milliseconds since this process started; infinite if the instance had no previous process run. */
-  readLifeMs: () => number
+  readRunMs: () => number
   /** Names of the other reachable instances that share the budgets. */
   listPeers: () => readonly string[]
 }
@@ -35,10 +35,10 @@
 export interface RetryBudgetsOptions {
   clock: Clock
   network: PeerNetwork
-  standing: BudgetStanding
+  membership: BudgetMembership
   /** See `WindowBudgetOptions`. */
   ratio: number
-  extra: number
+  fixedAllowance: number
   windowMs: number
 }
 
@@ -58,35 +58,35 @@
   find (service: string): WindowBudget {
     const existing = this.budgets.get(service)
     if (existing) return existing
-    const { clock, ratio, extra, windowMs, standing } = this.opts
+    const { clock, ratio, fixedAllowance, windowMs, membership } = this.opts
     const created = new WindowBudget({
       clock,
       ratio,
-      extra,
+      fixedAllowance,
       windowMs,
-      countInstances: standing.countInstances,
+      countInstances: membership.countInstances,
       ownsShare: () => this.msUntilOwnShare <= 0,
-      mayEarn: () => standing.readLifeMs() >= windowMs * PREVIOUS_RUN_WINDOWS,
+      mayEarn: () => membership.readRunMs() >= windowMs * PREVIOUS_RUN_WINDOWS,
     })
     this.budgets.set(service, created)
     return created
   }
 
   /** Counts a client request; requests loans from peers if the budget is short. */
-  noteRequest (service: string): void {
+  recordRequest (service: string): void {
     const budget = this.find(service)
-    budget.noteRequest()
+    budget.recordRequest()
     if (budget.shortfall > 0) this.borrowShortfall(service, budget)
   }
 
   /** Milliseconds until this process owns its share of the allowance. */
   private get msUntilOwnShare (): number {
-    return this.opts.windowMs + DISCOVERY_MS - this.opts.standing.readSharingMs()
+    return this.opts.windowMs + DISCOVERY_MS - this.opts.membership.readServingMs()
   }
 
   private borrowShortfall (service: string, budget: WindowBudget): void {
     const now = this.opts.clock.readTime()
-    const peers = this.opts.standing.listPeers()
+    const peers = this.opts.membership.listPeers()
     if (peers.length === 0 || now < (this.nextLoanRequestAt.get(service) ?? -Infinity)) return
     this.nextLoanRequestAt.set(service, now + LOAN_RETRY_MS)
     const amount = Math.ceil(budget.shortfall / peers.length)
--- a/routing/retries/src/RetryPermit.ts
+++ b/routing/retries/src/RetryPermit.ts
@@ -5,17 +5,17 @@
 export class RetryPermit {
   private isReserved = true
 
-  constructor (private readonly release: () => void, private readonly spend: () => boolean) {}
+  constructor (private readonly releaseReservation: () => void, private readonly spend: () => boolean) {}
 
   /** Counts the attempt as made now; returns false when the budget has shrunk too far in the meantime. */
   take (): boolean {
-    this.giveBack()
+    this.release()
     return this.spend()
   }
 
   /** Releases the reservation if it is unused. */
-  giveBack (): void {
-    if (this.isReserved) this.release()
+  release (): void {
+    if (this.isReserved) this.releaseReservation()
     this.isReserved = false
   }
 }
--- a/routing/retries/src/WindowBudget.ts
+++ b/routing/retries/src/WindowBudget.ts
@@ -13,7 +13,7 @@
   /** Retries earned per request. */
   ratio: number
   /** Additional retries per window, across all instances. */
-  extra: number
+  fixedAllowance: number
   windowMs: number
   /** Number of instances that share the budget. */
   countInstances: () => number
@@ -57,7 +57,7 @@
   }
 
   /** Counts a client request. */
-  noteRequest (): void {
+  recordRequest (): void {
     const bucket = this.updateBuckets() % REQUEST_BUCKETS
     this.requests[bucket] = (this.requests[bucket] ?? 0) + 1
   }
@@ -86,7 +86,7 @@
 
   /** An instance's equal share of the fixed allowance. */
   get share (): number {
-    return Math.floor(this.opts.extra / Math.max(1, this.opts.countInstances()))
+    return Math.floor(this.opts.fixedAllowance / Math.max(1, this.opts.countInstances()))
   }
 
   /** What this instance lacks of its share, after loans. */
--- a/routing/retries/src/index.ts
+++ b/routing/retries/src/index.ts
@@ -1,6 +1,6 @@
 export { RetryBudget } from './RetryBudget.js'
 export { RetryBudgets } from './RetryBudgets.js'
-export type { BudgetStanding, RetryBudgetsOptions } from './RetryBudgets.js'
+export type { BudgetMembership, RetryBudgetsOptions } from './RetryBudgets.js'
 export { RetryPermit } from './RetryPermit.js'
 export { WindowBudget } from './WindowBudget.js'
 export type { BudgetFacts, WindowBudgetOptions } from './WindowBudget.js'
--- a/routing/retries/test/RetryBudgetSimulation.ts
+++ b/routing/retries/test/RetryBudgetSimulation.ts
@@ -3,7 +3,7 @@
 import { RetryBudgets } from '../src/index.js'
 
 export const SERVICE = 's'
-export const BOUNDS = { ratio: 0.2, extra: 56, windowMs: 10_000 }
+export const BOUNDS = { ratio: 0.2, fixedAllowance: 56, windowMs: 10_000 }
 const RESTART_DELAY_MS = 500
 /** Time until a restarted instance has links to its peers. */
 const LINK_DELAY_MS = 300
@@ -34,7 +34,7 @@
   async request (name: string, isFailing: boolean): Promise<void> {
     const run = this.runs.get(name)
     if (!run) return
-    run.budgets.noteRequest(SERVICE)
+    run.budgets.recordRequest(SERVICE)
     this.requests.push(this.clock.readTime())
     if (!isFailing) return
     await this.clock.advance(10)
@@ -47,7 +47,7 @@
   requestWithoutDelay (name: string, isFailing: boolean): void {
     const run = this.runs.get(name)
     if (!run) return
-    run.budgets.noteRequest(SERVICE)
+    run.budgets.recordRequest(SERVICE)
     this.requests.push(this.clock.readTime())
     if (!isFailing) return
     if (run.budgets.find(SERVICE).take()) this.attempts.push(this.clock.readTime())
@@ -67,11 +67,11 @@
 
   /** Maximum number of retries beyond the limit in any window; the limit uses the requests of this window or of one that began half or one window earlier. */
   measureExcess (): number {
-    const { ratio, extra, windowMs } = BOUNDS
+    const { ratio, fixedAllowance, windowMs } = BOUNDS
     const countIn = (times: readonly number[], from: number): number => times.filter((at) => at >= from && at < from + windowMs).length
     const excesses = this.attempts.map((from) => {
       const requests = Math.max(...[0, windowMs / 2, windowMs].map((earlier) => countIn(this.requests, from - earlier)))
-      return countIn(this.attempts, from) - ratio * requests - extra
+      return countIn(this.attempts, from) - ratio * requests - fixedAllowance
     })
     return Math.max(-Infinity, ...excesses)
   }
@@ -79,12 +79,12 @@
   private start (instance: string, isFirst: boolean): void {
     const network = this.hub.createNode({ instance, incarnation: 1, address: '', peerAddress: '', region: '', dataHall: '', leaving: false })
     const startedAt = this.clock.readTime()
-    const standing = {
+    const membership = {
       countInstances: () => this.names.length,
-      readSharingMs: () => isFirst ? Infinity : this.clock.readTime() - startedAt,
-      readLifeMs: () => isFirst ? Infinity : this.clock.readTime() - startedAt,
+      readServingMs: () => isFirst ? Infinity : this.clock.readTime() - startedAt,
+      readRunMs: () => isFirst ? Infinity : this.clock.readTime() - startedAt,
       listPeers: () => isFirst || this.clock.readTime() - startedAt > LINK_DELAY_MS ? network.listLinked() : [],
     }
-    this.runs.set(instance, { budgets: new RetryBudgets({ clock: this.clock, network, standing, ...BOUNDS }), startedAt, isFirst })
+    this.runs.set(instance, { budgets: new RetryBudgets({ clock: this.clock, network, membership, ...BOUNDS }), startedAt, isFirst })
   }
 }
--- a/routing/retries/test/RetryBudgets.test.ts
+++ b/routing/retries/test/RetryBudgets.test.ts
@@ -29,7 +29,7 @@
   } else if (step.kind === 'kill') {
     for (let at = 0; at < step.count; at++) simulation.restart(name(step.first + at))
   } else if (step.kind === 'cut') simulation.hub.cut(name(step.one), name(step.other))
-  else if (step.kind === 'heal') simulation.hub.healAll()
+  else if (step.kind === 'heal') simulation.hub.clearPartitions()
   else await simulation.clock.advance(step.ms)
 }
 
@@ -103,6 +103,6 @@
   it('grant the whole fixed allowance to instances without a previous process run', async () => {
     const simulation = new RetryBudgetSimulation(NAMES)
     for (let at = 0; at < 400; at++) await simulation.request(NAMES[at % NAMES.length] as string, true)
-    assert.ok(simulation.attempts.length >= BOUNDS.extra)
+    assert.ok(simulation.attempts.length >= BOUNDS.fixedAllowance)
   })
 })
--- a/routing/retries/test/WindowBudget.test.ts
+++ b/routing/retries/test/WindowBudget.test.ts
@@ -4,7 +4,7 @@
 import { ManualClock } from '@pulleystack/core.clock'
 import { WindowBudget } from '../src/index.js'
 
-const OPTS = { ratio: 0.2, extra: 54, windowMs: 10_000 }
+const OPTS = { ratio: 0.2, fixedAllowance: 54, windowMs: 10_000 }
 
 function countTakes (budget: WindowBudget): number {
   let takes = 0
@@ -21,7 +21,7 @@
   it('grows with the requests, and attempts count until their window has passed', async () => {
     const clock = new ManualClock()
     const budget = new WindowBudget({ ...OPTS, clock, countInstances: () => 54 })
-    for (let i = 0; i < 50; i++) budget.noteRequest()
+    for (let i = 0; i < 50; i++) budget.recordRequest()
     assert.equal(countTakes(budget), 11)
     await clock.advance(8_000)
     assert.equal(countTakes(budget), 0)
@@ -76,8 +76,8 @@
 
     it('gets an unused permit back only once', () => {
       const permit = budget.reserve()
-      permit?.giveBack()
-      permit?.giveBack()
+      permit?.release()
+      permit?.release()
       assert.equal(budget.left, 2)
     })
 
@@ -110,7 +110,7 @@
     })
 
     it('lends no more than its share, even when requests have earned more', () => {
-      for (let i = 0; i < 500; i++) budget.noteRequest()
+      for (let i = 0; i < 500; i++) budget.recordRequest()
       let lent = 0
       for (let i = 0; i < 20; i++) lent += budget.lend(20, USE_MS)
       assert.equal(lent, 9)
@@ -141,7 +141,7 @@
       for (const { instance, requests: count, tries, ms } of steps) {
         const budget = budgets[instance] as WindowBudget
         for (let i = 0; i < count; i++) {
-          budget.noteRequest()
+          budget.recordRequest()
           requests.push(clock.readTime())
         }
         for (let i = 0; i < tries; i++) if (budget.take()) attempts.push(clock.readTime())
@@ -149,7 +149,7 @@
       }
       for (const end of attempts) {
         const inWindow = (at: number): boolean => at <= end && at > end - OPTS.windowMs
-        const allowed = OPTS.ratio * requests.filter((at) => at <= end && at > end - OPTS.windowMs).length + OPTS.extra
+        const allowed = OPTS.ratio * requests.filter((at) => at <= end && at > end - OPTS.windowMs).length + OPTS.fixedAllowance
         assert.ok(attempts.filter(inWindow).length <= allowed + 1e-9)
       }
     }), { numRuns: 60, seed: 5 })
--- a/routing/retries/test/retries.test.ts
+++ b/routing/retries/test/retries.test.ts
@@ -12,7 +12,7 @@
       let retries = 0
       for (const it of isRequest) {
         if (it) {
-          budget.noteRequest()
+          budget.recordRequest()
           requests++
         } else if (budget.take()) retries++
         assert.ok(retries <= requests * 0.1 + 5 + 1e-9, `${retries} retries after ${requests} requests`)
@@ -24,7 +24,7 @@
     const budget = new RetryBudget()
     let retries = 0
     for (let i = 0; i < 1_000; i++) {
-      budget.noteRequest()
+      budget.recordRequest()
       if (budget.take()) retries++
     }
     assert.ok(retries >= 103 && retries <= 105, `${retries}`)
@@ -33,7 +33,7 @@
 
 describe('OutlierDetector', () => {
   function eject (detector: OutlierDetector, now: number): boolean {
-    return Array.from({ length: 5 }, () => detector.noteFailure(now, 0.5)).includes(true)
+    return Array.from({ length: 5 }, () => detector.recordFailure(now, 0.5)).includes(true)
   }
 
   it('ejects a server after five consecutive failures and readmits it later', () => {
@@ -53,8 +53,8 @@
   it('ignores failures that alternate with successes', () => {
     const detector = new OutlierDetector()
     for (let i = 0; i < 50; i++) {
-      assert.equal(detector.noteFailure(i, 0.5), false)
-      detector.noteSuccess()
+      assert.equal(detector.recordFailure(i, 0.5), false)
+      detector.recordSuccess()
     }
   })
 
--- a/routing/runners/src/PrefixIndex.ts
+++ b/routing/runners/src/PrefixIndex.ts
@@ -45,7 +45,7 @@
   }
 
   /** Records the blocks of a prompt sent to the engine as unconfirmed. */
-  expect (blocks: readonly number[]): void {
+  addUnconfirmed (blocks: readonly number[]): void {
     for (const block of blocks) {
       if (!this.confirmed.has(block)) this.unconfirmed.set(block, true)
     }
--- a/routing/runners/src/Runner.ts
+++ b/routing/runners/src/Runner.ts
@@ -40,7 +40,7 @@
   /** Smoothed milliseconds to prefill one uncached block. */
   prefillMsPerBlock = INITIAL_PREFILL_MS
   /** Monotonic time until which the server requested a pause. */
-  refusedUntil = 0
+  pausedUntil = 0
   private readonly items = new Map<string, ResidentItem>()
   private readonly inFlightByPartner = new Map<string, number>()
   private readonly inFlightByItem = new Map<string, number>()
@@ -98,7 +98,7 @@
   }
 
   /** Resumes requests for items that were not removed by the end of their drain. */
-  endDrains (now: number): void {
+  clearExpiredDrains (now: number): void {
     for (const [item, until] of this.drainingUntil) {
       if (until <= now) this.drainingUntil.delete(item)
     }
@@ -115,7 +115,7 @@
     return this.inFlight - this.lookupsInFlight
   }
 
-  countOf (partner: string): number {
+  countInFlight (partner: string): number {
     return this.inFlightByPartner.get(partner) ?? 0
   }
 
@@ -160,30 +160,30 @@
     return this.estimateLoad() >= this.slots + Math.min(this.slots, Math.max(1, expectedCompletions))
   }
 
-  noteStart (partner: string, isLookup: boolean, now: number, item?: string): void {
+  recordStart (partner: string, isLookup: boolean, now: number, item?: string): void {
     if (item !== undefined) this.inFlightByItem.set(item, (this.inFlightByItem.get(item) ?? 0) + 1)
     this.inFlight++
     if (isLookup) this.lookupsInFlight++
-    this.inFlightByPartner.set(partner, this.countOf(partner) + 1)
+    this.inFlightByPartner.set(partner, this.countInFlight(partner) + 1)
     this.inFlightSamples.push({ at: now, inFlight: this.inFlight })
     if (!this.report) this.dropOldSamples()
   }
 
-  noteEnd (partner: string, isLookup: boolean, now: number, item?: string): void {
+  recordEnd (partner: string, isLookup: boolean, now: number, item?: string): void {
     if (item !== undefined) this.inFlightByItem.set(item, (this.inFlightByItem.get(item) ?? 1) - 1)
     this.inFlight--
     if (isLookup) this.lookupsInFlight--
-    this.inFlightByPartner.set(partner, this.countOf(partner) - 1)
+    this.inFlightByPartner.set(partner, this.countInFlight(partner) - 1)
     this.inFlightSamples.push({ at: now, inFlight: this.inFlight })
   }
 
-  noteServiceTime (ms: number, tokens?: number): void {
+  recordServiceTime (ms: number, tokens?: number): void {
     this.serviceMs += (ms - this.serviceMs) * EWMA_WEIGHT
     if (tokens) this.msPerToken += (ms / tokens - this.msPerToken) * EWMA_WEIGHT
   }
 
   /** Updates the prefill time per block from a first token, unless requests are waiting at the server. */
-  notePrefill (missingBlocks: number, firstTokenMs: number): void {
+  recordPrefill (missingBlocks: number, firstTokenMs: number): void {
     if (missingBlocks < 1 || this.waiting > 0) return
     this.prefillMsPerBlock += (firstTokenMs / missingBlocks - this.prefillMsPerBlock) * EWMA_WEIGHT
   }
--- a/routing/runners/src/startCollector.ts
+++ b/routing/runners/src/startCollector.ts
@@ -25,7 +25,7 @@
   engines: EngineClient
   table: RunnerTable
   /** Returns the instances to which an engine's reports are relayed. */
-  listInterested: (server: ListedInstance, items: readonly ResidentItem[]) => string[]
+  listSubscribers: (server: ListedInstance, items: readonly ResidentItem[]) => string[]
   /** Minimum milliseconds between two reports of one engine. */
   reportWaitMs: number
 }
@@ -100,7 +100,7 @@
   const update: RunnerUpdate = { server: server.id, life, seq, everyMs: intervalMs, ageMs, running, waiting, slots, freeBytes, cacheEvents, cacheSeq }
   opts.table.applyUpdate({ ...update, items }, now)
   const isFullUpdateDue = now - previous.fullUpdateAt > FULL_UPDATE_INTERVAL_MS || !equal(items, previous.items)
-  const peers = new Set(opts.listInterested(server, items).filter((peer) => peer !== opts.view.self.instance))
+  const peers = new Set(opts.listSubscribers(server, items).filter((peer) => peer !== opts.view.self.instance))
   const fullUpdate = packUpdate({ ...update, items })
   const shortUpdate = packUpdate(update)
   for (const peer of peers) opts.network.send(peer, RUNNER_UPDATES, isFullUpdateDue || !previous.peers.has(peer) ? fullUpdate : shortUpdate)
--- a/routing/runners/test/runners.test.ts
+++ b/routing/runners/test/runners.test.ts
@@ -29,19 +29,19 @@
 describe('Runner', () => {
   it('corrects a delayed report by the requests started and finished since', () => {
     const runner = createRunner()
-    runner.noteStart('p', false, 10)
+    runner.recordStart('p', false, 10)
     // Measured at 20 ms with one own request and two of other instances running; arrives at 50 ms.
     runner.applyUpdate(buildUpdate({ running: 3, ageMs: 30 }), 50)
-    runner.noteStart('p', false, 60)
-    runner.noteStart('p', false, 70)
+    runner.recordStart('p', false, 60)
+    runner.recordStart('p', false, 70)
     assert.equal(runner.estimateLoad(), 5)
-    runner.noteEnd('p', false, 80)
+    runner.recordEnd('p', false, 80)
     assert.equal(runner.estimateLoad(), 4)
   })
 
   it('never estimates less than its own requests in flight', () => {
     const runner = createRunner()
-    runner.noteStart('p', false, 10)
+    runner.recordStart('p', false, 10)
     runner.applyUpdate(buildUpdate({ running: 0, ageMs: 0 }), 20)
     assert.equal(runner.estimateLoad(), 1)
   })
@@ -74,7 +74,7 @@
     assert.equal(runner.hasReady('p/m@base'), true)
     runner.drain('p/m@base', 100)
     assert.equal(runner.hasReady('p/m@base'), false)
-    runner.endDrains(100)
+    runner.clearExpiredDrains(100)
     assert.equal(runner.hasReady('p/m@base'), true)
   })
 })
--- a/timeline/decisions/src/DecisionLog.ts
+++ b/timeline/decisions/src/DecisionLog.ts
@@ -61,7 +61,7 @@
 }
 
 /** Discards all lines. */
-export class SilentDecisionLog extends DecisionLog {
+export class NullDecisionLog extends DecisionLog {
   record (): void {
     // Discarded.
   }
--- a/timeline/decisions/src/index.ts
+++ b/timeline/decisions/src/index.ts
@@ -1,4 +1,4 @@
-export { DecisionKinds, DecisionLog, SilentDecisionLog } from './DecisionLog.js'
+export { DecisionKinds, DecisionLog, NullDecisionLog } from './DecisionLog.js'
 export type { DecisionFacts, ReachedLimit, RetryVerdict } from './DecisionFacts.js'
 export type { DecisionKind } from './DecisionLog.js'
 export { JsonDecisionLog } from './JsonDecisionLog.js'
--- a/timeline/merge/src/collectTimeline.ts
+++ b/timeline/merge/src/collectTimeline.ts
@@ -8,7 +8,7 @@
 const MAX_EVENTS = 5_000
 
 /** Answers peers that request this instance's events. */
-export function answerTimeline (network: PeerNetwork, ring: EventRing): void {
+export function handleTimelineCalls (network: PeerNetwork, ring: EventRing): void {
   network.handleCalls(TIMELINE_CHANNEL, (_, filter) => ring.list((event) => matchFilter(event, filter)).slice(-MAX_EVENTS))
 }
 
--- a/timeline/story/src/buildStory.ts
+++ b/timeline/story/src/buildRequestTrace.ts
@@ -8,15 +8,15 @@
 }
 
 /** A log line that explains a request. */
-export interface StoryLine extends LogLine {
+export interface TraceLine extends LogLine {
   /** True if the line is about the request itself, false if it is about the state of the instance. */
   isAboutRequest: boolean
 }
 
 /** The log lines that explain a request, with a summary. */
-export interface RequestStory {
+export interface RequestTrace {
   request: string
-  lines: readonly StoryLine[]
+  lines: readonly TraceLine[]
   conclusion: string
 }
 
@@ -47,7 +47,7 @@
 }
 
 /** Collects the lines that explain a request; undefined if no line is about it. */
-export function buildStory (lines: readonly LogLine[], request: string): RequestStory | undefined {
+export function buildRequestTrace (lines: readonly LogLine[], request: string): RequestTrace | undefined {
   const requestLines = lines.filter((line) => line.fields['request'] === request)
   const first = requestLines[0]
   if (!first) return undefined
@@ -60,7 +60,7 @@
     return CONTEXT_KINDS.has(line.kind) || (SERVER_KINDS.has(line.kind) && backends.has(line.fields['backend']))
   }
   const included = lines.filter((line) => line.fields['request'] === request || isContext(line))
-  const storyLines = included.map((line): StoryLine => ({ ...line, isAboutRequest: line.fields['request'] === request }))
+  const storyLines = included.map((line): TraceLine => ({ ...line, isAboutRequest: line.fields['request'] === request }))
   return { request, lines: storyLines.sort((a, b) => a.at - b.at), conclusion: describeConclusion(requestLines) }
 }
 
@@ -71,7 +71,7 @@
 }
 
 /** Renders the lines as text, with times in milliseconds since the request's first line. */
-export function renderStory (story: RequestStory): string {
+export function renderRequestTrace (story: RequestTrace): string {
   const start = story.lines.find((line) => line.isAboutRequest)?.at ?? 0
   const rows = story.lines.map((line) => {
     const offset = `${line.at - start}`.padStart(7)
--- a/timeline/story/src/index.ts
+++ b/timeline/story/src/index.ts
@@ -1,2 +1,2 @@
-export { buildStory, readLogLines, renderStory } from './buildStory.js'
-export type { LogLine, RequestStory, StoryLine } from './buildStory.js'
+export { buildRequestTrace, readLogLines, renderRequestTrace } from './buildRequestTrace.js'
+export type { LogLine, RequestTrace, TraceLine } from './buildRequestTrace.js'
--- a/timeline/story/test/buildStory.test.ts
+++ b/timeline/story/test/buildRequestTrace.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import { buildStory, readLogLines, renderStory } from '../src/index.js'
+import { buildRequestTrace, readLogLines, renderRequestTrace } from '../src/index.js'
 
 function createLine (seconds: number, instance: string, kind: string, fields: Record<string, unknown>): string {
   const time = new Date(1_000_000 + seconds * 1000).toISOString()
@@ -28,15 +28,15 @@
   })
 
   it('returns the lines of the request and of the state of its instance, in order', () => {
-    const story = buildStory(lines, 'q1')
+    const story = buildRequestTrace(lines, 'q1')
     assert.deepEqual(story?.lines.map((line) => line.kind), ['dependency-lost', 'attempt-sent', 'backend-ejected', 'attempt-failed', 'request-ended'])
     assert.deepEqual(story.lines.map((line) => line.isAboutRequest), [false, true, false, true, true])
   })
 
   it('summarizes why the request failed', () => {
-    const story = buildStory(lines, 'q1')
+    const story = buildRequestTrace(lines, 'q1')
     assert.match(story?.conclusion ?? '', /answered 502 .* after 300 ms; because: socket hang up; failed attempts: r1: socket hang up/)
-    assert.match(renderStory(story as NonNullable<typeof story>), /-1000 ms {3}e1 dependency-lost/)
+    assert.match(renderRequestTrace(story as NonNullable<typeof story>), /-1000 ms {3}e1 dependency-lost/)
   })
 
   it('shows which rate limits of servers delayed the request, and when they were reported', () => {
@@ -47,13 +47,13 @@
       createLine(10, 'e1', 'limit-reached', { request: 'q4', limits, expectedMs: 400 }),
       createLine(10, 'e1', 'request-ended', { request: 'q4', status: 503, code: 'OVERLOADED', reason: 'limits are reached', ms: 1 }),
     ].join('\n')
-    const story = buildStory(readLogLines(log), 'q4')
+    const story = buildRequestTrace(readLogLines(log), 'q4')
     assert.deepEqual(story?.lines.map((line) => line.kind), ['backend-limit-changed', 'limit-reached', 'request-ended'])
     assert.match(story.conclusion, /answered 503 .*; delayed by rate limits of servers: .*"backend":"r1","perSecond":2,"saidMsAgo":300,"heardBy":"e2"/)
   })
 
   it('reports a missing end, and returns undefined for an unknown request', () => {
-    assert.match(buildStory(lines, 'q2')?.conclusion ?? '', /the end of the request is not logged/)
-    assert.equal(buildStory(lines, 'q3'), undefined)
+    assert.match(buildRequestTrace(lines, 'q2')?.conclusion ?? '', /the end of the request is not logged/)
+    assert.equal(buildRequestTrace(lines, 'q3'), undefined)
   })
 })
--- a/tools/bench/src/capacity/slopes.ts
+++ b/tools/bench/src/capacity/slopes.ts
@@ -164,7 +164,7 @@
     slots: runner.slots,
     serviceMs: runner.serviceMs,
     prefillMsPerBlock: runner.prefillMsPerBlock,
-    hopMs: 0,
+    networkMs: 0,
     estimateLoad: () => runner.estimateLoad(),
     countMatching: (blocks: readonly number[]) => runner.cache.countMatching(blocks),
   }))
@@ -180,7 +180,7 @@
   const clock = new SystemClock()
   const store = new MemoryObjectStore({ clock })
   let ids = 0
-  const shard = new ClaimShard({ clock, store, shard: 0, keepMs: 3_600_000, commitsPerSecond: 10_000, createOperation: () => String(ids++) })
+  const shard = new ClaimShard({ clock, store, shard: 0, retentionMs: 3_600_000, commitsPerSecond: 10_000, createOperationId: () => String(ids++) })
   const deadline = performance.now() + 60_000
   await Promise.all(Array.from({ length: count }, (_, i) => shard.claim({ key: `a-key-of-43-characters-as-base64url-has-${i}`, hash: 'h'.repeat(43), request: `r${i}`, instance: 'entry-1' }, deadline)))
   return shard
--- a/tools/bench/src/routing/runClaims.ts
+++ b/tools/bench/src/routing/runClaims.ts
@@ -29,7 +29,7 @@
   const clients = NAMES.map((name) => {
     const { view, identity } = createView(clock, name, NAMES)
     const network = hub.createNode(identity)
-    return new ClaimClient({ clock, view, network, store, shards: 4, keepMs: 3_600_000, writesPerSecond: 40, createOperation: () => String(ids++) })
+    return new ClaimClient({ clock, view, network, store, shards: 4, retentionMs: 3_600_000, writesPerSecond: 40, createOperationId: () => String(ids++) })
   })
   const latencies: number[] = []
   const cpu = readCpu()
@@ -66,5 +66,5 @@
   const request = { key: `key-${i}`, hash: 'h', request: `r${i}`, instance: 'a' }
   await client.claim(request, started + 10_000)
   latencies.push(performance.now() - started)
-  client.keepOutcome(request, { status: 200, contentType: 'application/json', body: '{"stamp":"0123456789"}' })
+  client.storeOutcome(request, { status: 200, contentType: 'application/json', body: '{"stamp":"0123456789"}' })
 }
--- a/tools/bench/src/routing/runPicking.ts
+++ b/tools/bench/src/routing/runPicking.ts
@@ -1,5 +1,5 @@
 import { RandomSource } from '@pulleystack/core.clock'
-import { CostPicker, LeastReportedPicker, RandomPicker, RoundRobinPicker, type Picker } from '@pulleystack/routing.picker'
+import { CostPicker, LeastLoadPicker, RandomPicker, RoundRobinPicker, type Picker } from '@pulleystack/routing.picker'
 import { computeQuantile, printReport, roundTo, type Row } from '../report.js'
 import { simulate, type SimulatedRequest } from './Simulation.js'
 
@@ -13,7 +13,7 @@
 const PICKERS: Readonly<Record<string, (random: RandomSource) => Picker>> = {
   'random': (random) => new RandomPicker(random),
   'round robin': () => new RoundRobinPicker(),
-  'least reported load': () => new LeastReportedPicker(),
+  'least reported load': () => new LeastLoadPicker(),
   'cost (product)': (random) => new CostPicker(random),
 }
 
--- a/tools/bench/src/routing/runSuspects.ts
+++ b/tools/bench/src/routing/runSuspects.ts
@@ -1,16 +1,16 @@
-import { CountedEndsRule, LoneRunRule, WeighedEndsRule, type SuspectRule } from '@pulleystack/routing.quarantine'
-import { QuarantineBench, type Scenario, type ScenarioOutcome } from '../../../../routing/quarantine/test/QuarantineBench.js'
+import { CrashCountRule, ExclusiveRunRule, UnclearedCrashCountRule, type SuspectRule } from '@pulleystack/routing.quarantine'
+import { QuarantineSimulation, type Scenario, type ScenarioOutcome } from '../../../../routing/quarantine/test/QuarantineSimulation.js'
 import { printReport, type Row } from '../report.js'
 
 const SEEDS = [1, 2, 3, 4, 5, 6]
 
 /** Ways to decide about requests under which servers ended. */
 const RULES: Readonly<Record<string, SuspectRule>> = {
-  'nothing is remembered': new CountedEndsRule(Infinity),
-  'two ends counted': new CountedEndsRule(2),
-  'three ends counted': new CountedEndsRule(3),
-  'three ends, none good between': new WeighedEndsRule(3),
-  'lone run': new LoneRunRule(),
+  'nothing is remembered': new CrashCountRule(Infinity),
+  'two ends counted': new CrashCountRule(2),
+  'three ends counted': new CrashCountRule(3),
+  'three ends, none good between': new UnclearedCrashCountRule(3),
+  'lone run': new ExclusiveRunRule(),
 }
 
 const STREAMS = { instances: 8, servers: 8, lastsMs: 20_000, rate: 40, runMs: 2_000, sameShare: 0 }
@@ -39,7 +39,7 @@
 async function sumOutcomes (scenario: Scenario, rule: SuspectRule): Promise<Row> {
   const sum: ScenarioOutcome = { endedByLethal: 0, laterArrivals: 0, innocent: 0, refusedWrongly: 0, lost: 0 }
   for (const seed of SEEDS) {
-    const outcome = await new QuarantineBench(scenario, rule, seed).play()
+    const outcome = await new QuarantineSimulation(scenario, rule, seed).play()
     for (const key of Object.keys(sum) as (keyof ScenarioOutcome)[]) sum[key] += outcome[key]
   }
   return { ...sum }
--- a/tools/replay/src/RoutingNode.ts
+++ b/tools/replay/src/RoutingNode.ts
@@ -4,7 +4,7 @@
 import type { MembershipView } from '@pulleystack/membership.view'
 import { InstanceRoles, type ListedInstance, type ObjectStore } from '@pulleystack/backend.interfaces'
 import { ClaimClient } from '@pulleystack/routing.claims'
-import { Budgets, EligibleRunners, GenerationDispatcher, Places, type Place } from '@pulleystack/routing.dispatch'
+import { ServiceRetryBudgets, EligibleRunners, GenerationDispatcher, SlotAllocator, type Slot } from '@pulleystack/routing.dispatch'
 import { CostPicker, type Picker } from '@pulleystack/routing.picker'
 import { WorkQueue } from '@pulleystack/routing.queue'
 import { RunnerTable } from '@pulleystack/routing.runners'
@@ -39,7 +39,7 @@
   readonly ring: EventRing
   readonly claims: ClaimClient
   readonly table = new RunnerTable()
-  readonly queue: WorkQueue<Place>
+  readonly queue: WorkQueue<Slot>
   readonly generations: GenerationDispatcher
   private readonly items: readonly string[]
 
@@ -55,21 +55,30 @@
     const index = new ConfigIndex(opts.replica)
     this.table.applyServers(opts.engines.engines.map((_, i) => buildServer(i)), 0)
     const eligible = new EligibleRunners({ index, replica: opts.replica, table: this.table, view })
-    this.queue = new WorkQueue<Place>({ clock, maxPerPartner: QUEUED, getWeight: () => 1 })
+    this.queue = new WorkQueue<Slot>({ clock, maxPerPartner: QUEUED, getWeight: () => 1 })
     const picker = opts.picker ?? new CostPicker(random)
-    const places = new Places({ clock, random, view, index, eligible, queue: this.queue, picker, ring: this.ring })
-    this.table.changes.subscribe(() => this.queue.pump())
+    const places = new SlotAllocator({ clock, random, view, index, eligible, queue: this.queue, picker, ring: this.ring })
+    this.table.changes.subscribe(() => this.queue.serveWaiting())
     this.generations = new GenerationDispatcher({
       clock,
       random,
       ring: this.ring,
-      places,
-      budgets: new Budgets(),
+      slots: places,
+      budgets: new ServiceRetryBudgets(),
       createId,
       engines: opts.engines,
       stallMs: opts.stallMs ?? STALL_MS,
     })
-    this.claims = new ClaimClient({ clock, view, network, store: opts.store, shards: 2, keepMs: 600_000, writesPerSecond: 40, createOperation: createId })
+    this.claims = new ClaimClient({
+      clock,
+      view,
+      network,
+      store: opts.store,
+      shards: 2,
+      retentionMs: 600_000,
+      writesPerSecond: 40,
+      createOperationId: createId,
+    })
   }
 
   /** Takes a report as its collector would pass it on. */
