--- a/program/entry/src/createMetrics.ts
+++ b/program/entry/src/createMetrics.ts
@@ -7,21 +7,21 @@
 import type { EntryParts } from './EntryParts.js'
 import { TimerDelay } from './TimerDelay.js'
 
-/** Where the figures of an entry instance come from. */
+/** Sources of an entry instance's metrics. */
 export interface MetricsParts extends EntryParts {
   fleet: BackendFleet
   mesh: InstanceMesh
   network: WebSocketNetwork
   readTable: () => RouteTable | undefined
-  readWaiting: () => number
-  readSuspects: () => number
-  listCopies: () => readonly StoreFeed[]
+  countWaiting: () => number
+  countSuspects: () => number
+  listReplicas: () => readonly StoreFeed[]
   signal: AbortSignal
 }
 
-/** The figures, timers' delay among them, which is sampled until the signal ends. */
+/** Creates the metrics and samples the timer delay until the signal is aborted. */
 export function createMetrics (parts: MetricsParts): EntryMetrics {
-  const { clock, deps, fleet, mesh, network, readTable, readWaiting, readSuspects, listCopies, signal } = parts
+  const { clock, deps, fleet, mesh, network, readTable, countWaiting, countSuspects, listReplicas, signal } = parts
   const timerDelay = new TimerDelay(clock)
   timerDelay.start(signal)
   return new EntryMetrics({
@@ -30,9 +30,9 @@
     network,
     epochs: deps.store.epochs,
     readConfigVersion: () => readTable()?.config.version ?? 0,
-    readWaiting,
-    readSuspects,
-    listCopies,
+    countWaiting,
+    countSuspects,
+    listReplicas,
     readTimerDelayMs: () => timerDelay.longestMs,
   })
 }
--- a/program/entry/src/startQueue.ts
+++ b/program/entry/src/startQueue.ts
@@ -7,7 +7,7 @@
 import type { BackendFleet } from '@pulleystack/routing.fleet'
 import { ServerPermits } from '@pulleystack/routing.permits'
 import type { EntryParts } from './EntryParts.js'
-import { describeStanding } from './describeStanding.js'
+import { describeMembership } from './describeMembership.js'
 
 export interface QueueParts extends EntryParts {
   random: RandomSource
@@ -18,10 +18,10 @@
   residency: ResidencyService
 }
 
-/** The places at backend servers, and the rights to send to those that name a limit, which all instances share until the signal ends. */
+/** Starts the queue for slots at backend servers, and the permits of servers with a limit, which all instances share until the signal is aborted. */
 export function startQueue (parts: QueueParts, signal: AbortSignal): BackendQueue {
   const { settings, clock, random, log, policy, mesh, network, fleet, residency } = parts
-  const permits = new ServerPermits({ clock, random, network, fleet, membership: describeStanding(mesh), onChange: () => queue.assignSlots() })
+  const permits = new ServerPermits({ clock, random, network, fleet, membership: describeMembership(mesh), onChange: () => queue.assignSlots() })
   const queue = new BackendQueue({ clock, random, fleet, permits, residency, log, dataHall: settings.dataHall, policy })
   permits.start(signal)
   return queue
