--- a/backend/http/src/OwnRoutedProtocol.ts
+++ b/backend/http/src/DefaultRoutedProtocol.ts
@@ -1,6 +1,6 @@
 import type { IncomingHttpHeaders, IncomingMessage } from 'node:http'
 import { RoutedProtocol, type ResponseFacts, type ForwardContext, type RoutedRequestFacts, type ServerStatus } from '@pulleystack/backend.interfaces'
-import { describeUnreadable, listEndToEnd, parseRetryAfter } from '@pulleystack/core.headers'
+import { formatInvalidHeader, filterEndToEndHeaders, parseRetryAfter } from '@pulleystack/core.headers'
 import { Ran } from '@pulleystack/core.errors'
 import { ATTEMPT_HEADER, RAN_HEADER } from './wire.js'
 
@@ -19,7 +19,7 @@
 }
 
 /** The default protocol for routed requests, with the same headers as for plain services. */
-export class OwnRoutedProtocol extends RoutedProtocol {
+export class DefaultRoutedProtocol extends RoutedProtocol {
   override readRequest (headers: IncomingHttpHeaders): RoutedRequestFacts {
     const waitMs = Number(headers[DEADLINE_HEADER])
     return {
@@ -31,7 +31,7 @@
   }
 
   override buildForwardHeaders (rawHeaders: readonly string[], context: ForwardContext): string[] {
-    const headers = listEndToEnd(rawHeaders, context.lastEventId === undefined ? NOT_FORWARDED : NOT_FORWARDED_ON_RESUME)
+    const headers = filterEndToEndHeaders(rawHeaders, context.lastEventId === undefined ? NOT_FORWARDED : NOT_FORWARDED_ON_RESUME)
     headers.push(DEADLINE_HEADER, String(context.waitMs))
     if (context.lastEventId !== undefined) headers.push(LAST_EVENT_HEADER, context.lastEventId)
     if (context.bodyBytes !== undefined) headers.push('content-length', String(context.bodyBytes))
@@ -39,7 +39,7 @@
   }
 
   override buildRelayHeaders (rawHeaders: readonly string[], waitMs: number | undefined): string[] {
-    const headers = listEndToEnd(rawHeaders, NOT_RELAYED)
+    const headers = filterEndToEndHeaders(rawHeaders, NOT_RELAYED)
     if (waitMs !== undefined) headers.push(DEADLINE_HEADER, String(waitMs))
     return headers
   }
@@ -47,7 +47,12 @@
   override readResponse (status: number, headers: IncomingHttpHeaders): ResponseFacts {
     const requestId = readText(headers[ATTEMPT_HEADER])
     const notRun = status === SERVICE_UNAVAILABLE && headers[RAN_HEADER] === Ran.NO
-    return { requestId, signed: requestId !== undefined, notRun, serverStatus: status === SERVICE_UNAVAILABLE ? readBackoffRequest(headers) : undefined }
+    return {
+      requestId,
+      isConfirmedByServer: requestId !== undefined,
+      notRun,
+      serverStatus: status === SERVICE_UNAVAILABLE ? readBackoffRequest(headers) : undefined,
+    }
   }
 
   override buildOwnHeaders (): Record<string, string> {
@@ -60,8 +65,8 @@
   const value = headers['retry-after']
   if (value === undefined) return undefined
   const retryAfterMs = parseRetryAfter(value, headers.date)
-  const unreadable = retryAfterMs === undefined ? describeUnreadable('retry-after', value) : undefined
-  return { serverId: undefined, leaving: false, retryAfterMs, namesLimit: false, limitPerSecond: undefined, unreadable }
+  const invalidHeader = retryAfterMs === undefined ? formatInvalidHeader('retry-after', value) : undefined
+  return { serverId: undefined, leaving: false, retryAfterMs, hasLimit: false, limitPerSecond: undefined, invalidHeader }
 }
 
 function readText (value: string | string[] | undefined): string | undefined {
--- a/backend/http/test/OwnRoutedProtocol.test.ts
+++ b/backend/http/test/DefaultRoutedProtocol.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import { OwnRoutedProtocol } from '../src/index.js'
+import { DefaultRoutedProtocol } from '../src/index.js'
 
-const PROTOCOL = new OwnRoutedProtocol()
+const PROTOCOL = new DefaultRoutedProtocol()
 
-describe('OwnRoutedProtocol.readAnswer', () => {
+describe('DefaultRoutedProtocol.readResponse', () => {
   it('reports a status of the server only for a 503 response with Retry-After', () => {
     assert.equal(PROTOCOL.readResponse(200, { 'retry-after': '3' }).serverStatus, undefined)
     assert.equal(PROTOCOL.readResponse(503, {}).serverStatus, undefined)
@@ -17,6 +17,6 @@
   it('reports an invalid Retry-After header, truncated', () => {
     const { serverStatus: statement } = PROTOCOL.readResponse(503, { 'retry-after': 'x'.repeat(1_000) })
     assert.equal(statement?.retryAfterMs, undefined)
-    assert.match(statement?.unreadable ?? '', /^retry-after: x{64}$/)
+    assert.match(statement?.invalidHeader ?? '', /^retry-after: x{64}$/)
   })
 })
--- a/backend/interfaces/src/RoutedProtocol.ts
+++ b/backend/interfaces/src/RoutedProtocol.ts
@@ -1,5 +1,5 @@
 import type { IncomingHttpHeaders } from 'node:http'
-import type { ServerStatus } from './ServerStatement.js'
+import type { ServerStatus } from './ServerStatus.js'
 
 /** A part of a prompt. Parts with the same id have the same text. */
 export interface RoutedPromptPart {
@@ -54,7 +54,7 @@
 export interface ResponseFacts {
   requestId: string | undefined
   /** The response has the header by which a server confirms that the response is its own. */
-  signed: boolean
+  isConfirmedByServer: boolean
   /** The server did not run the request and will not run it later. */
   notRun: boolean
   /** A server other than the intended one may have responded. */
--- a/backend/interfaces/src/ServerStatement.ts
+++ b/backend/interfaces/src/ServerStatus.ts
@@ -7,9 +7,9 @@
   /** Milliseconds for which this instance should send it no requests; undefined if it did not request a pause. */
   retryAfterMs: number | undefined
   /** Whether the response contains a request limit, valid or not. */
-  namesLimit: boolean
+  hasLimit: boolean
   /** Requests per second that the server accepts from all instances together; undefined if the response contains no valid limit. */
   limitPerSecond: number | undefined
   /** A status header that could not be parsed, truncated; undefined if all were valid. */
-  unreadable: string | undefined
+  invalidHeader: string | undefined
 }
--- a/backend/interfaces/src/StoreEpochs.ts
+++ b/backend/interfaces/src/StoreEpochs.ts
@@ -1,7 +1,7 @@
 import { Subject, type Observable } from 'rxjs'
 
 /** A store that is restored from a snapshot contains all writes made longer than this before the restore. */
-export const LONGEST_LOSS_MS = 60_000
+export const MAX_RESTORE_LOSS_MS = 60_000
 
 /** A store has entered a newer epoch. */
 export interface EpochChange {
--- a/backend/interfaces/src/WeightsClient.ts
+++ b/backend/interfaces/src/WeightsClient.ts
@@ -1,7 +1,7 @@
 import type { PulleystackError } from '@pulleystack/core.errors'
 import type { Result } from 'neverthrow'
 import { Subject, type Observable } from 'rxjs'
-import type { ServerStatus } from './ServerStatement.js'
+import type { ServerStatus } from './ServerStatus.js'
 
 /** The weights of a model server as it reports them, out of date by a fraction of a second. */
 export interface WeightsState {
@@ -11,7 +11,7 @@
   busy: boolean
   models: readonly { name: string, adapters: readonly string[] }[]
   /** Adapters that are being loaded, as `model/adapter`. */
-  comingAdapters: readonly string[]
+  loadingAdapters: readonly string[]
   /** Models with a copy in host memory. */
   inMemory: readonly string[]
   /** Models with a copy on disk. */
@@ -38,7 +38,7 @@
   /** Another order is in progress, or the sequence differs. */
   CONFLICT: 'conflict',
   /** The order is unknown, the server is another one, or a newer holder has sent an order. */
-  REFUSED: 'refused',
+  REJECTED: 'refused',
 } as const
 export type OrderAnswer = typeof OrderAnswers[keyof typeof OrderAnswers]
 
--- a/backend/interfaces/src/watchObjects.ts
+++ b/backend/interfaces/src/watchObjects.ts
@@ -15,13 +15,13 @@
   random: RandomSource
   prefix: string
   /** Interval in milliseconds between full listings, which correct changes that the watch missed. */
-  getRelistMs: () => number
+  getRelistIntervalMs: () => number
   /** Maximum milliseconds that one call waits for a change. */
   waitMs?: number
   /** Maximum milliseconds between failed calls, before jitter. */
   maxBackoffMs?: number
   /** Milliseconds to wait after a batch, so that changes in quick succession are fetched together. */
-  settleMs?: number
+  batchDelayMs?: number
 }
 
 /** Watches a prefix until unsubscribed. Lists again if the version was compacted, and retries failed calls with jittered exponential backoff. */
@@ -38,7 +38,7 @@
   let backoff = MIN_BACKOFF_MS
   let listedAt = -Infinity
   while (!signal.aborted) {
-    if (opts.clock.readTime() - listedAt > opts.getRelistMs()) version = undefined
+    if (opts.clock.readTime() - listedAt > opts.getRelistIntervalMs()) version = undefined
     if (version === undefined) listedAt = opts.clock.readTime()
     const nextVersion = version === undefined ? await emitListing(opts, emit) : await emitChanges(opts, version, signal, emit)
     if (signal.aborted) return
@@ -64,6 +64,6 @@
   const batch = await opts.store.waitForChanges(opts.prefix, version, opts.waitMs ?? LONG_POLL_MS, signal)
   if (batch.isErr()) return batch.error.code === 'STORE_COMPACTED' ? undefined : 'failed'
   emit({ batch: batch.value })
-  if (opts.settleMs !== undefined && batch.value.changes.length > 0) await opts.clock.wait(opts.settleMs, signal)
+  if (opts.batchDelayMs !== undefined && batch.value.changes.length > 0) await opts.clock.wait(opts.batchDelayMs, signal)
   return Math.max(version, batch.value.version)
 }
--- a/config/feed/src/StoreFeed.ts
+++ b/config/feed/src/StoreFeed.ts
@@ -1,6 +1,6 @@
 import { readRevision, type StoreListing } from '@pulleystack/backend.interfaces'
 import { PulleystackError } from '@pulleystack/core.errors'
-import { listRanked } from '@pulleystack/core.hashing'
+import { rankMembers } from '@pulleystack/core.hashing'
 import { measureSend } from '@pulleystack/membership.peers'
 import { serveSnapshots } from './serveSnapshots.js'
 import { findOrCreateBudget, type ByteBudget } from './ByteBudget.js'
@@ -285,7 +285,7 @@
   /** The peer that announced the changes, and others as a fallback. */
   private chooseFallbackPeers (): string[] {
     const { network, instance } = this.opts
-    const others = listRanked(instance, network.listLinked().filter((peer) => peer !== this.announced.peer), (peer) => peer)
+    const others = rankMembers(instance, network.listLinked().filter((peer) => peer !== this.announced.peer), (peer) => peer)
     return [this.announced.peer, ...others].slice(0, MAX_FALLBACK_PEERS)
   }
 
--- a/config/feed/test/StalenessMonitor.test.ts
+++ b/config/feed/test/StalenessMonitor.test.ts
@@ -35,7 +35,7 @@
   }
 }
 
-describe('CopyWatch', () => {
+describe('StalenessMonitor', () => {
   let clock: ManualClock
   let store: FaultyStore
   let log: RecordingLog
--- a/config/feed/test/StoreFeed.test.ts
+++ b/config/feed/test/StoreFeed.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import { beforeEach, describe, it } from 'node:test'
 import { buildVersion } from '@pulleystack/backend.interfaces'
-import type { MemoryCopy } from '@pulleystack/emulator.stand-ins'
+import type { StoreSnapshot } from '@pulleystack/emulator.stand-ins'
 import fc from 'fast-check'
 import { UPDATE } from '../src/channels.js'
 import { FeedCluster, MAX_PROPAGATION_MS, PREFIX, type Node } from './FeedCluster.js'
@@ -113,11 +113,11 @@
       const { objects } = (await cluster.shared.listObjects(PREFIX))._unsafeUnwrap()
       return objects.map(({ key, value }) => [key, value]).sort()
     }
-    let backup: MemoryCopy
+    let backup: StoreSnapshot
 
     beforeEach(async () => {
       for (let at = 0; at < OBJECTS; at++) await write(`k${at}`)
-      backup = cluster.shared.takeCopy()
+      backup = cluster.shared.takeSnapshot()
       for (let at = 0; at < OBJECTS; at++) await write(`k${at}`)
       await cluster.clock.advance(1_000)
     })
@@ -188,13 +188,13 @@
       hub.duplicateProbability = 0.2
       hub.maxDelayMs = 300
       for (const name of NAMES) cluster.start(name)
-      let copy = shared.takeCopy()
+      let copy = shared.takeSnapshot()
       for (const { kind, node, other } of steps) {
         if (kind === 'write') await cluster.write(`k${node}`)
         else if (kind === 'cut') hub.cut(NAMES[node] as string, NAMES[other] as string)
         else if (kind === 'heal') hub.clearPartitions()
         else if (kind === 'compact') shared.compact()
-        else if (kind === 'copy') copy = shared.takeCopy()
+        else if (kind === 'copy') copy = shared.takeSnapshot()
         else if (kind === 'restore') shared.restore(copy)
         else if (kind !== 'pass') (cluster.nodes[node] as Node).path.state = kind
         await clock.advance(250)
--- a/config/sync/src/startConfigSync.ts
+++ b/config/sync/src/startConfigSync.ts
@@ -1,6 +1,6 @@
 import { listDifferentBuckets, type BucketSummary, type ConfigReplica, type ReplicaDigest, type ReplicaEntry } from '@pulleystack/config.replica'
 import type { Clock, RandomSource } from '@pulleystack/core.clock'
-import { listRanked } from '@pulleystack/core.hashing'
+import { rankMembers } from '@pulleystack/core.hashing'
 import { defineChannel, type PeerNetwork } from '@pulleystack/membership.peers'
 import type { MembershipView } from '@pulleystack/membership.view'
 import { watchObjects, type ObjectStore, type WatchItem } from '@pulleystack/backend.interfaces'
@@ -68,14 +68,14 @@
 }
 
 function watchStore (opts: ConfigSyncOptions): Subscription {
-  const items = watchObjects({ ...opts, prefix: PREFIX, getRelistMs: () => computeRelistMs(opts.replica) })
+  const items = watchObjects({ ...opts, prefix: PREFIX, getRelistIntervalMs: () => computeRelistMs(opts.replica) })
   return items.subscribe((item) => applyItem(opts.replica, item))
 }
 
 function isWatcher (opts: ConfigSyncOptions): boolean {
   const { view } = opts
   const sameRegion = view.listEligible().filter((member) => member.region === view.self.region)
-  const watchers = listRanked(`watch/${view.self.region}`, sameRegion, (member) => member.instance).slice(0, WATCHERS_PER_REGION)
+  const watchers = rankMembers(`watch/${view.self.region}`, sameRegion, (member) => member.instance).slice(0, WATCHERS_PER_REGION)
   return watchers.some((member) => member.instance === view.self.instance)
 }
 
--- a/core/errors/src/PulleystackError.ts
+++ b/core/errors/src/PulleystackError.ts
@@ -50,13 +50,13 @@
   }
 
   /** The entry of this error's code in `ResultCodes`. */
-  get row (): ResultCode {
+  get resultCode (): ResultCode {
     return ResultCodes[this.code]
   }
 
   /** Returns the body of an HTTP response for this error. */
   renderBody (requestId?: string): ErrorBody {
-    const error: ErrorBody['error'] = { code: this.row.number, name: this.code, message: this.message, ran: this.ran }
+    const error: ErrorBody['error'] = { code: this.resultCode.number, name: this.code, message: this.message, ran: this.ran }
     if (this.hint !== undefined) error.hint = this.hint
     if (this.field !== undefined) error.field = this.field
     if (this.details !== undefined) error.details = this.details
--- a/core/hashing/src/index.ts
+++ b/core/hashing/src/index.ts
@@ -1,3 +1,3 @@
 export { hashAccessKey } from './hashAccessKey.js'
 export { hashParts } from './hashParts.js'
-export { hashText, listRanked, computeRank, findOwner } from './rendezvous.js'
+export { hashText, rankMembers, computeRank, findOwner } from './rendezvous.js'
--- a/core/hashing/src/rendezvous.ts
+++ b/core/hashing/src/rendezvous.ts
@@ -14,7 +14,7 @@
 }
 
 /** Sorts members by their rank for the key, highest first. Removing a member reassigns only the keys that it owned. */
-export function listRanked<T> (key: string, members: readonly T[], getName: (member: T) => string, getWeight: (member: T) => number = () => 1): T[] {
+export function rankMembers<T> (key: string, members: readonly T[], getName: (member: T) => string, getWeight: (member: T) => number = () => 1): T[] {
   const ranked = members.map((member) => ({ member, name: getName(member), rank: computeRank(key, getName(member), getWeight(member)) }))
   ranked.sort((a, b) => b.rank - a.rank || (a.name < b.name ? -1 : 1))
   return ranked.map((it) => it.member)
--- a/core/headers/src/listEndToEnd.ts
+++ b/core/headers/src/filterEndToEndHeaders.ts
@@ -1,7 +1,7 @@
 const HOP_BY_HOP = new Set(['connection', 'keep-alive', 'proxy-connection', 'proxy-authenticate', 'proxy-authorization', 'te', 'trailer', 'transfer-encoding', 'upgrade'])
 
 /** Returns the raw headers (alternating names and values) without hop-by-hop headers, those listed in `Connection`, and `excluded` (lower case). */
-export function listEndToEnd (rawHeaders: readonly string[], excluded: ReadonlySet<string> = new Set()): string[] {
+export function filterEndToEndHeaders (rawHeaders: readonly string[], excluded: ReadonlySet<string> = new Set()): string[] {
   const connectionOptions = listConnectionOptions(rawHeaders)
   const forwarded: string[] = []
   for (let at = 0; at + 1 < rawHeaders.length; at += 2) {
--- a/core/headers/src/index.ts
+++ b/core/headers/src/index.ts
@@ -1,4 +1,4 @@
-export { describeUnreadable } from './describeUnreadable.js'
-export { listEndToEnd } from './listEndToEnd.js'
+export { formatInvalidHeader } from './formatInvalidHeader.js'
+export { filterEndToEndHeaders } from './filterEndToEndHeaders.js'
 export { parseDecimal } from './parseDecimal.js'
 export { parseRetryAfter } from './parseRetryAfter.js'
--- a/directory/subset/src/chooseSubset.ts
+++ b/directory/subset/src/chooseSubset.ts
@@ -1,4 +1,4 @@
-import { listRanked } from '@pulleystack/core.hashing'
+import { rankMembers } from '@pulleystack/core.hashing'
 
 export interface SubsetMember {
   instance: string
@@ -20,7 +20,7 @@
  * by an instance of another. Adding or removing a member changes at most one entry.
  */
 export function chooseSubset<T extends SubsetMember> (service: string, members: readonly T[], size: number): T[] {
-  const ranked = listRanked(`serve/${service}`, members, (member) => member.instance)
+  const ranked = rankMembers(`serve/${service}`, members, (member) => member.instance)
   const chosen = ranked.slice(0, size)
   const halls = new Set(chosen.map((member) => member.dataHall))
   if (halls.size >= MIN_DATA_HALLS || chosen.length < MIN_DATA_HALLS) return chosen
--- a/emulator/stand-ins/src/BatchModel.ts
+++ b/emulator/stand-ins/src/BatchModel.ts
@@ -35,7 +35,7 @@
   /** Factor for all durations; raise it to simulate a slow engine. */
   slowdown = 1
   /** Ids of all attempts started at offset 0. An id that occurs twice was run twice. */
-  readonly started: string[] = []
+  readonly startedAttempts: string[] = []
   private readonly running = new Map<string, RunningRequest>()
   private waiting: BatchRequest[] = []
   private readonly cache: LRUCache<number, true>
@@ -96,7 +96,7 @@
   }
 
   private startRequest (request: BatchRequest): void {
-    if (request.offset === 0) this.started.push(request.attempt)
+    if (request.offset === 0) this.startedAttempts.push(request.attempt)
     const uncached = request.blocks.filter((block) => this.cache.get(block) === undefined)
     for (const block of uncached) this.cache.set(block, true)
     if (uncached.length > 0) this.recordCache('stored', uncached)
--- a/emulator/stand-ins/src/FakeEngine.ts
+++ b/emulator/stand-ins/src/FakeEngine.ts
@@ -33,7 +33,7 @@
   readonly memory: EngineMemory
   readonly batch: BatchModel
   /** Ids of the attempts that were generated to the end. */
-  readonly finished: string[] = []
+  readonly finishedAttempts: string[] = []
   readonly cancelled: string[] = []
   /** Breaks the connection of the next `count` streams after `afterTokens` tokens. */
   breakStreams = { count: 0, afterTokens: 3 }
@@ -145,7 +145,7 @@
       },
       onEnd: () => {
         stream.done = true
-        this.finished.push(call.attempt)
+        this.finishedAttempts.push(call.attempt)
         this.wakeListeners(stream)
       },
     })
--- a/emulator/stand-ins/src/FakeService.ts
+++ b/emulator/stand-ins/src/FakeService.ts
@@ -11,10 +11,10 @@
   /** Number of next calls that run, but whose response is lost. */
   loseAnswers = 0
   /** Number of next calls to reject before they run. */
-  refuse = 0
+  rejectCalls = 0
   /** Number of next calls to respond to with the id of another attempt. */
-  mixUp = 0
-  total = 0
+  mislabelAnswers = 0
+  totalRuns = 0
   private server: LoopbackServer | undefined
 
   private constructor (private readonly opts: { clock: Clock, delayMs?: number, port?: number }) {
@@ -44,8 +44,8 @@
   private async handle (request: http.IncomingMessage, response: http.ServerResponse): Promise<void> {
     const body = await readWholeBody(request).catch(() => undefined)
     if (!body) return
-    if (this.refuse > 0) {
-      this.refuse--
+    if (this.rejectCalls > 0) {
+      this.rejectCalls--
       response.writeHead(503, { [ATTEMPT_HEADER]: request.headers[ATTEMPT_HEADER], 'pulleystack-ran': 'no' })
       response.end()
       return
@@ -61,14 +61,14 @@
   }
 
   private countRun (request: http.IncomingMessage): void {
-    this.total++
+    this.totalRuns++
     const work = request.headers['work']
     if (typeof work === 'string') this.runs.set(work, (this.runs.get(work) ?? 0) + 1)
   }
 
   private sendAnswer (request: http.IncomingMessage, response: http.ServerResponse, body: Buffer): void {
-    const attempt = this.mixUp > 0 ? 'another' : request.headers[ATTEMPT_HEADER]
-    if (this.mixUp > 0) this.mixUp--
+    const attempt = this.mislabelAnswers > 0 ? 'another' : request.headers[ATTEMPT_HEADER]
+    if (this.mislabelAnswers > 0) this.mislabelAnswers--
     const text = JSON.stringify({ path: request.url, method: request.method, work: request.headers['work'], length: body.length })
     response.writeHead(200, { 'content-type': 'application/json', [ATTEMPT_HEADER]: attempt, 'content-length': Buffer.byteLength(text) })
     response.end(text)
--- a/emulator/stand-ins/src/MemoryObjectStore.ts
+++ b/emulator/stand-ins/src/MemoryObjectStore.ts
@@ -26,7 +26,7 @@
 }
 
 /** A snapshot of the store. */
-export interface MemoryCopy {
+export interface StoreSnapshot {
   version: number
   objects: ReadonlyMap<string, { version: number, text: string }>
 }
@@ -96,12 +96,12 @@
   }
 
   /** Takes a snapshot for `restore`. */
-  takeCopy (): MemoryCopy {
+  takeSnapshot (): StoreSnapshot {
     return { version: this.version, objects: new Map(this.objects) }
   }
 
   /** Restores an older snapshot in a new epoch. Later writes are lost, and revisions continue from the snapshot's. */
-  restore (copy: MemoryCopy): void {
+  restore (copy: StoreSnapshot): void {
     const epoch = readEpoch(this.version) + 1
     this.version = buildVersion(epoch, readRevision(copy.version))
     this.objects.clear()
--- a/emulator/stand-ins/src/index.ts
+++ b/emulator/stand-ins/src/index.ts
@@ -1,5 +1,5 @@
 export { MemoryObjectStore } from './MemoryObjectStore.js'
-export type { MemoryCopy, StoreFaults, StoreCounts } from './MemoryObjectStore.js'
+export type { StoreSnapshot, StoreFaults, StoreCounts } from './MemoryObjectStore.js'
 export { serveObjectStore } from './serveObjectStore.js'
 export { MemoryInstanceList, serveInstanceList } from './instanceList.js'
 export { EngineMemory } from './EngineMemory.js'
--- a/emulator/stand-ins/src/serveObjectStore.ts
+++ b/emulator/stand-ins/src/serveObjectStore.ts
@@ -54,5 +54,5 @@
   }
   // Clients treat a broken connection as an unknown outcome.
   if (result.error.code === 'STORE_OUTCOME_UNKNOWN') response.destroy()
-  else answerJson(response, result.error.row.status, { message: result.error.message })
+  else answerJson(response, result.error.resultCode.status, { message: result.error.message })
 }
--- a/gateway/http/src/responses.ts
+++ b/gateway/http/src/responses.ts
@@ -28,5 +28,5 @@
   if (error.retryAfterSeconds !== undefined) headers['retry-after'] = String(Math.ceil(error.retryAfterSeconds))
   // Unread bytes of the body would be parsed as the next request on this connection.
   if (!response.req.complete) headers['connection'] = 'close'
-  sendJson(response, error.row.status, error.renderBody(requestId), headers)
+  sendJson(response, error.resultCode.status, error.renderBody(requestId), headers)
 }
--- a/gateway/routed/src/ClientResponse.ts
+++ b/gateway/routed/src/ClientResponse.ts
@@ -1,7 +1,7 @@
 import type http from 'node:http'
 import type { PulleystackError } from '@pulleystack/core.errors'
 import { Ran } from '@pulleystack/core.errors'
-import { listEndToEnd } from '@pulleystack/core.headers'
+import { filterEndToEndHeaders } from '@pulleystack/core.headers'
 import type { ExchangeResponse } from '@pulleystack/routing.forward'
 import { RELAY_HEADER_NAMES, RelayHeaders } from './relayHeaders.js'
 
@@ -29,7 +29,7 @@
 
   /** Sends a complete response of a backend server. */
   sendBuffered (response: ExchangeResponse, body: Buffer): void {
-    const headers = listEndToEnd(response.rawHeaders, OMITTED_HEADERS)
+    const headers = filterEndToEndHeaders(response.rawHeaders, OMITTED_HEADERS)
     if (response.status !== 204 && response.status !== 304) headers.push('Content-Length', String(body.length))
     this.writeHead(response, headers)
     this.opts.response.end(body)
@@ -37,7 +37,7 @@
 
   /** Sends the head of a streamed response. */
   beginStream (response: ExchangeResponse): void {
-    this.writeHead(response, listEndToEnd(response.rawHeaders, OMITTED_HEADERS))
+    this.writeHead(response, filterEndToEndHeaders(response.rawHeaders, OMITTED_HEADERS))
   }
 
   /** Returns false when the caller should wait for `onDrain` before writing more. */
@@ -89,7 +89,7 @@
 
 /** 503 guarantees that the request has not run and never will; 502 and 504 guarantee nothing. */
 export function chooseStatus (error: PulleystackError): number {
-  const { status } = error.row
+  const { status } = error.resultCode
   if (status < 500) return status
   if (error.ran === Ran.NO) return 503
   return status === 504 ? 504 : 502
--- a/gateway/routed/src/InstanceRelay.ts
+++ b/gateway/routed/src/InstanceRelay.ts
@@ -119,7 +119,7 @@
   /** Any response of an instance is final, unless it reports an outdated configuration. */
   private readResponse (status: number, headers: IncomingHttpHeaders): ResponseFacts {
     const { requestId } = this.opts.protocol.readResponse(status, headers)
-    return { requestId, signed: true, notRun: headers[RelayHeaders.OUTDATED] !== undefined }
+    return { requestId, isConfirmedByServer: true, notRun: headers[RelayHeaders.OUTDATED] !== undefined }
   }
 
   private noteVersion (response: ExchangeResponse): void {
--- a/gateway/routed/src/RoutedGateway.ts
+++ b/gateway/routed/src/RoutedGateway.ts
@@ -2,7 +2,7 @@
 import type { RoutedProtocol, RoutedRequestFacts } from '@pulleystack/backend.interfaces'
 import { chooseTarget, type Route, type RouteTable, type Team } from '@pulleystack/config.routes'
 import { PulleystackError, convertToError } from '@pulleystack/core.errors'
-import { listEndToEnd } from '@pulleystack/core.headers'
+import { filterEndToEndHeaders } from '@pulleystack/core.headers'
 import { readBody } from '@pulleystack/gateway.http'
 import type { ResidencyClient } from '@pulleystack/placement.residency'
 import { RetryEstimator } from '@pulleystack/routing.admission'
@@ -269,7 +269,7 @@
       host: (request.headers.host ?? '').toLowerCase(),
       method: request.method ?? 'GET',
       path: request.url ?? '/',
-      rawHeaders: listEndToEnd(request.rawHeaders, RELAY_HEADER_NAMES),
+      rawHeaders: filterEndToEndHeaders(request.rawHeaders, RELAY_HEADER_NAMES),
       body,
       arrivedAt: arrived.arrivedAt,
       deadline: arrived.deadline,
--- a/gateway/routed/test/InstanceRelay.test.ts
+++ b/gateway/routed/test/InstanceRelay.test.ts
@@ -6,16 +6,16 @@
 import type { ResponseFacts, RoutedProtocol } from '@pulleystack/backend.interfaces'
 import { SystemClock } from '@pulleystack/core.clock'
 import { PulleystackError, Ran } from '@pulleystack/core.errors'
-import { listEndToEnd } from '@pulleystack/core.headers'
+import { filterEndToEndHeaders } from '@pulleystack/core.headers'
 import { BackendAgent } from '@pulleystack/routing.forward'
 import { NullDecisionLog } from '@pulleystack/timeline.decisions'
 import { InstanceRelay, RelayHeaders, type RelayTarget } from '../src/index.js'
 import { ClientResponse } from '../src/ClientResponse.js'
 
 const protocol = {
-  readResponse: (_: number, headers: http.IncomingHttpHeaders): ResponseFacts => ({ requestId: headers['request-id'] as string | undefined, signed: false, notRun: false }),
+  readResponse: (_: number, headers: http.IncomingHttpHeaders): ResponseFacts => ({ requestId: headers['request-id'] as string | undefined, isConfirmedByServer: false, notRun: false }),
   buildRelayHeaders: (rawHeaders: readonly string[], waitMs: number | undefined) => [
-    ...listEndToEnd(rawHeaders, new Set(['content-length'])),
+    ...filterEndToEndHeaders(rawHeaders, new Set(['content-length'])),
     'left-ms',
     String(waitMs),
   ],
--- a/gateway/routed/test/QuotaGate.test.ts
+++ b/gateway/routed/test/QuotaGate.test.ts
@@ -62,7 +62,7 @@
     limits.verdict = { isGranted: false, retryAfterMs: RETRY_AFTER_MS }
     const rejection = await gate.admit({ requestId: 'q', team: TEAM, tokens: 70 }).catch((error: PulleystackError) => error)
     assert.ok(rejection instanceof PulleystackError)
-    assert.equal(rejection.row.status, 429)
+    assert.equal(rejection.resultCode.status, 429)
     assert.equal(rejection.ran, Ran.NO)
     assert.equal(rejection.retryAfterSeconds, RETRY_AFTER_MS / 1000)
     assert.deepEqual(counted, [['refused', 70]])
--- a/gateway/routed/test/runRequest.test.ts
+++ b/gateway/routed/test/runRequest.test.ts
@@ -78,7 +78,7 @@
       agent,
       protocol: {
         buildForwardHeaders: () => ['Host', 'h'],
-        readResponse: (_: number, headers: http.IncomingHttpHeaders) => ({ requestId: 'q', signed: true, notRun: headers.unused !== undefined }),
+        readResponse: (_: number, headers: http.IncomingHttpHeaders) => ({ requestId: 'q', isConfirmedByServer: true, notRun: headers.unused !== undefined }),
       },
       suspects: { hasBecomeSuspect: () => false, admit: () => Promise.resolve({ isOnly: false, release: () => undefined }), recordServed: () => undefined },
       queue: { acquire, hasSlotElsewhere: () => true },
--- a/membership/mesh/src/InstanceDirectory.ts
+++ b/membership/mesh/src/InstanceDirectory.ts
@@ -1,5 +1,5 @@
 import type { Clock } from '@pulleystack/core.clock'
-import { listRanked } from '@pulleystack/core.hashing'
+import { rankMembers } from '@pulleystack/core.hashing'
 import { computeServingCount, rankServing, type ServingCandidate } from './chooseServing.js'
 
 /** A registered instance, whether it is running or not. */
@@ -105,7 +105,7 @@
   listStandbyNeighbours (serving: ReadonlySet<string>): KnownInstance[] {
     const neighbours: KnownInstance[] = []
     let reachable = 0
-    for (const it of listRanked(this.self.instance, this.listServingNeighbours(serving), (known) => known.instance)) {
+    for (const it of rankMembers(this.self.instance, this.listServingNeighbours(serving), (known) => known.instance)) {
       if (reachable >= STANDBY_LINK_COUNT) break
       if (!this.isUnreachable(it.instance, UNREACHABLE_MS)) reachable++
       neighbours.push(it)
--- a/membership/mesh/src/InstanceMesh.ts
+++ b/membership/mesh/src/InstanceMesh.ts
@@ -1,4 +1,4 @@
-import { LONGEST_LOSS_MS, type ObjectStore, type StoredObject } from '@pulleystack/backend.interfaces'
+import { MAX_RESTORE_LOSS_MS, type ObjectStore, type StoredObject } from '@pulleystack/backend.interfaces'
 import type { Clock } from '@pulleystack/core.clock'
 import { hashText } from '@pulleystack/core.hashing'
 import { defineChannel, type PeerIdentity, type WebSocketNetwork } from '@pulleystack/membership.peers'
@@ -325,7 +325,7 @@
   private async restoreOwnRecord (signal: AbortSignal): Promise<void> {
     const { clock, store, self } = this.opts
     this.storeRestoredAt = clock.readTime()
-    if (clock.readTime() - this.recordWrittenAt > LONGEST_LOSS_MS) return
+    if (clock.readTime() - this.recordWrittenAt > MAX_RESTORE_LOSS_MS) return
     await clock.wait(hashText(self.instance) % Math.max(1, this.directory.size * RESTORE_CHECK_SPACING_MS), signal)
     while (!signal.aborted) {
       const own = await store.readObject(INSTANCES_PREFIX + self.instance)
--- a/membership/view/src/startMembership.ts
+++ b/membership/view/src/startMembership.ts
@@ -1,5 +1,5 @@
 import type { Clock } from '@pulleystack/core.clock'
-import { listRanked } from '@pulleystack/core.hashing'
+import { rankMembers } from '@pulleystack/core.hashing'
 import { defineChannel, type PeerNetwork } from '@pulleystack/membership.peers'
 import type { InstanceList } from '@pulleystack/backend.interfaces'
 import { EventKinds, type EventRing } from '@pulleystack/timeline.events'
@@ -75,7 +75,7 @@
   const { view } = membership
   const eligible = view.listEligible()
   if (eligible.length <= SMALL_SYSTEM_INSTANCES || membership.copy.size === 0) return true
-  const readers = listRanked('list-reader', eligible, (member) => member.instance).slice(0, READER_COUNT)
+  const readers = rankMembers('list-reader', eligible, (member) => member.instance).slice(0, READER_COUNT)
   if (readers.some((reader) => reader.instance === view.self.instance)) return true
   return membership.clock.readTime() - membership.readAt > RESYNC_MS_PER_MEMBER * eligible.length
 }
--- a/placement/ledger/src/ShardLease.ts
+++ b/placement/ledger/src/ShardLease.ts
@@ -122,7 +122,7 @@
 
   /**
    * Renews the lease by writing the record unchanged; also after it expired, if no other instance has acquired it. In a
-   * new epoch of the store, an expired lease is renewed only if `isHoldingOn` confirms that no other instance can hold it.
+   * new epoch of the store, an expired lease is renewed only if `isConfirmedHolder` confirms that no other instance can hold it.
    */
   async renew (isConfirmedHolder: () => boolean = () => false): Promise<Result<void, PulleystackError>> {
     if (!this.record) return err(createLostError(this.opts.shard))
--- a/placement/mover/src/buildPlanInput.ts
+++ b/placement/mover/src/buildPlanInput.ts
@@ -1,7 +1,7 @@
 import { Kinds, parseItem } from '@pulleystack/config.objects'
 import type { ConfigIndex } from '@pulleystack/config.replica'
 import { matchLabels } from '@pulleystack/config.selectors'
-import { listRanked } from '@pulleystack/core.hashing'
+import { rankMembers } from '@pulleystack/core.hashing'
 import { computeReservedBytes, EntryStates, type LedgerEntry, type ShardRecord } from '@pulleystack/placement.ledger'
 import type { PlanCopy, PlanGroup, PlanInput, PlanServer } from '@pulleystack/placement.planner'
 import type { ListedInstance } from '@pulleystack/backend.interfaces'
@@ -43,7 +43,7 @@
   if (context.shards.length === 1) return true
   const load = context.readDemand(item) / (group.model.spec.tokensPerSecond ?? DEFAULT_TOKENS_PER_SECOND)
   let shardsNeeded = Math.ceil(load / MAX_LOAD_PER_SHARD) || 1
-  for (const shard of listRanked(item, context.shards, (it) => it)) {
+  for (const shard of rankMembers(item, context.shards, (it) => it)) {
     if (shard === context.shard) return shardsNeeded > 0
     if (!context.hasRejected(shard, item)) shardsNeeded--
     if (shardsNeeded <= 0) return false
--- a/placement/residency/src/OutageGrants.ts
+++ b/placement/residency/src/OutageGrants.ts
@@ -25,7 +25,7 @@
 
 /**
  * Lets the lease holder continue during an outage of the store while every other instance confirms that it has lost the store too. A grant is valid
- * for a fifth of `turnMs` from its request; the instance that gave it doesn't acquire the lease until `turnMs` after the grant has expired.
+ * for a fifth of `minHandoverGapMs` from its request; the instance that gave it doesn't acquire the lease until `minHandoverGapMs` after the grant has expired.
  */
 export class OutageGrants {
   /** Monotone time at which the latest grant of each instance was requested. */
--- a/placement/residency/src/loadAdapter.ts
+++ b/placement/residency/src/loadAdapter.ts
@@ -26,7 +26,7 @@
       opts.onChange(model, adapter, true)
       return true
     }
-    if (!state.comingAdapters.some((pending) => isSameAdapter(pending, name))) {
+    if (!state.loadingAdapters.some((pending) => isSameAdapter(pending, name))) {
       if (!await ensureFreeSlot(opts, state)) continue
       if (!hasRoom(opts.serving, state, model, true)) return false
       if (!await opts.orders.send('load', model, adapter)) continue
@@ -42,7 +42,7 @@
 /** Unloads the least recently used adapters until one adapter slot is free. */
 async function ensureFreeSlot (opts: LoadAdapterOptions, state: WeightsState): Promise<boolean> {
   const loaded = listAdapters(state)
-  let excess = loaded.length + state.comingAdapters.length + 1 - opts.serving.adapterSlots
+  let excess = loaded.length + state.loadingAdapters.length + 1 - opts.serving.adapterSlots
   const leastRecentlyUsed = [...loaded].sort((a, b) => opts.readIdleMs(b) - opts.readIdleMs(a))
   for (const name of leastRecentlyUsed) {
     if (excess <= 0) return true
--- a/placement/residency/test/OutageGrants.test.ts
+++ b/placement/residency/test/OutageGrants.test.ts
@@ -50,7 +50,7 @@
     other = createNode('other', () => ['holder'])
   })
 
-  it('lets the holder continue for a fifth of turnMs unless the grant is renewed', async () => {
+  it('lets the holder continue for a fifth of minHandoverGapMs unless the grant is renewed', async () => {
     await loseStore(holder, other)
     assert.equal(holder.grants.isGrantedByAll, false)
     await requestGrants()
@@ -59,7 +59,7 @@
     assert.equal(holder.grants.isGrantedByAll, false)
   })
 
-  it('binds the granting instance for turnMs after the grant has expired', async () => {
+  it('binds the granting instance for minHandoverGapMs after the grant has expired', async () => {
     await loseStore(holder, other)
     await requestGrants()
     await clock.advance(GRANT_MS + TURN_MS - 20)
--- a/placement/residency/test/RecordingServers.ts
+++ b/placement/residency/test/RecordingServers.ts
@@ -42,7 +42,7 @@
       sequence: server?.sequence ?? 0,
       busy: false,
       models: [...server?.models ?? []].map((name) => ({ name, adapters: [] })),
-      comingAdapters: [],
+      loadingAdapters: [],
       inMemory: [],
       onDisk: [],
     })
--- a/placement/residency/test/loadAdapter.test.ts
+++ b/placement/residency/test/loadAdapter.test.ts
@@ -31,7 +31,7 @@
   }
 
   override async readState (): Promise<Result<WeightsState, PulleystackError>> {
-    return ok({ sequence: this.sequence, busy: false, models: [{ name: 'm', adapters: [...this.adapters] }], comingAdapters: [], inMemory: [], onDisk: [] })
+    return ok({ sequence: this.sequence, busy: false, models: [{ name: 'm', adapters: [...this.adapters] }], loadingAdapters: [], inMemory: [], onDisk: [] })
   }
 
   override async sendOrder (_target: WeightsTarget, order: WeightsOrder): Promise<Result<OrderAnswer, PulleystackError>> {
--- a/placement/residency/test/memory.test.ts
+++ b/placement/residency/test/memory.test.ts
@@ -14,21 +14,21 @@
 
 describe('memory of a model server', () => {
   it('is used by models, their adapters and pending adapters', () => {
-    assert.equal(computeUsedMb(SERVING, { models: [{ name: 'a', adapters: ['x', 'y'] }], comingAdapters: ['a/z@1'] }), 60 + 3 * 4)
+    assert.equal(computeUsedMb(SERVING, { models: [{ name: 'a', adapters: ['x', 'y'] }], loadingAdapters: ['a/z@1'] }), 60 + 3 * 4)
   })
 
   it('has no room for a model when adapters occupy too much', () => {
-    assert.equal(hasRoom(SERVING, { models: [{ name: 'a', adapters: ['x', 'y'] }], comingAdapters: [] }, 'b', false), true)
-    assert.equal(hasRoom(SERVING, { models: [{ name: 'a', adapters: ['x', 'y', 'z'] }], comingAdapters: [] }, 'b', false), false)
+    assert.equal(hasRoom(SERVING, { models: [{ name: 'a', adapters: ['x', 'y'] }], loadingAdapters: [] }, 'b', false), true)
+    assert.equal(hasRoom(SERVING, { models: [{ name: 'a', adapters: ['x', 'y', 'z'] }], loadingAdapters: [] }, 'b', false), false)
   })
 
   it('has no room for an adapter when models occupy too much', () => {
-    const state = { models: [{ name: 'a', adapters: ['x'] }, { name: 'b', adapters: ['y'] }], comingAdapters: [] }
+    const state = { models: [{ name: 'a', adapters: ['x'] }, { name: 'b', adapters: ['y'] }], loadingAdapters: [] }
     assert.equal(hasRoom(SERVING, state, 'a', true), false)
   })
 
   it('has no room for a model of unknown size, or next to one', () => {
-    assert.equal(hasRoom(SERVING, { models: [{ name: 'foreign', adapters: [] }], comingAdapters: [] }, 'a', true), false)
-    assert.equal(hasRoom(SERVING, { models: [], comingAdapters: [] }, 'foreign', false), false)
+    assert.equal(hasRoom(SERVING, { models: [{ name: 'foreign', adapters: [] }], loadingAdapters: [] }, 'a', true), false)
+    assert.equal(hasRoom(SERVING, { models: [], loadingAdapters: [] }, 'foreign', false), false)
   })
 })
--- a/program/cli/src/runCli.ts
+++ b/program/cli/src/runCli.ts
@@ -52,7 +52,7 @@
 }
 
 function reportError (error: PulleystackError): ExitCode {
-  const lines = [`error ${error.row.number} ${error.code}: ${error.message}`]
+  const lines = [`error ${error.resultCode.number} ${error.code}: ${error.message}`]
   if (error.field !== undefined) lines.push(`  field: ${error.field}`)
   if (error.details !== undefined) lines.push(`  details: ${JSON.stringify(error.details)}`)
   if (error.hint !== undefined) lines.push(`  hint: ${error.hint}`)
--- a/program/cli/test/processes.test.ts
+++ b/program/cli/test/processes.test.ts
@@ -6,7 +6,7 @@
 import { after, before, describe, it } from 'node:test'
 import { hashAccessKey } from '@pulleystack/core.hashing'
 import { InstanceRoles } from '@pulleystack/backend.interfaces'
-import { readExample, readStreamText, sendCall, startStandIns, type DemoAnswer, type StandIns } from '@pulleystack/program.demo'
+import { readExample, readStreamText, sendRequest, startStandIns, type DemoResponse, type StandIns } from '@pulleystack/program.demo'
 
 const MAIN = path.join(import.meta.dirname, '../src/main.ts')
 const DATA_HALLS = ['san-jose', 'cartago', 'heredia']
@@ -55,18 +55,18 @@
     standIns.list.setInstance({ id: name, role: InstanceRoles.ENTRY, address, peerAddress, region: 'central-plateau', dataHall, leaving: false, labels: {} })
     const instance = { name, address, child, exited }
     instances.push(instance)
-    await waitUntil(async () => (await sendCall(address, { method: 'GET', path: '/readyz', key: '' })).status === 200)
+    await waitUntil(async () => (await sendRequest(address, { method: 'GET', path: '/readyz', key: '' })).status === 200)
     return instance
   }
 
-  function requestDraft (address: string, work: string, tokens: number): Promise<DemoAnswer> {
+  function requestDraft (address: string, work: string, tokens: number): Promise<DemoResponse> {
     const body = { model: 'appeal-large', stream: true, max_tokens: tokens, prompt: `Appeal ${work}` }
-    return sendCall(address, { method: 'POST', path: '/v1/completions', key: 'demo-peritos-firm', body })
+    return sendRequest(address, { method: 'POST', path: '/v1/completions', key: 'demo-peritos-firm', body })
   }
 
-  function requestStamp (address: string, work: string, deadlineMs = 8_000): Promise<DemoAnswer> {
+  function requestStamp (address: string, work: string, deadlineMs = 8_000): Promise<DemoResponse> {
     const headers = { 'idempotency-key': work, 'work': work, 'pulleystack-deadline-ms': String(deadlineMs) }
-    return sendCall(address, { method: 'POST', path: '/services/window/stamps', key: 'demo-peritos-notary', headers, body: {} })
+    return sendRequest(address, { method: 'POST', path: '/services/window/stamps', key: 'demo-peritos-notary', headers, body: {} })
   }
 
   before(async () => {
@@ -76,7 +76,7 @@
     await Promise.all(DATA_HALLS.map((dataHall, i) => startInstanceProcess(`entry-${i + 1}`, dataHall)))
     const address = (instances[0] as InstanceProcess).address
     for (const partner of ['platform', 'peritos', 'shorewatch']) {
-      const answer = await sendCall(address, { method: 'POST', path: '/admin/apply', key: `op-${partner}`, body: { objects: readExample(`${partner}.jsonc`) } })
+      const answer = await sendRequest(address, { method: 'POST', path: '/admin/apply', key: `op-${partner}`, body: { objects: readExample(`${partner}.jsonc`) } })
       assert.equal(answer.status, 200, answer.body)
     }
     await waitUntil(async () => (await requestDraft(address, 'first', 2)).status === 200)
@@ -91,7 +91,7 @@
   it('serve both partners on every instance', async () => {
     for (const { address } of instances) {
       assert.equal(readStreamText((await requestDraft(address, 'parcel-1', 3)).body), 'parcel-1#0 parcel-1#1 parcel-1#2 ')
-      assert.equal((await sendCall(address, { method: 'GET', path: '/services/gauges/1', key: 'demo-shorewatch-emergency' })).status, 200)
+      assert.equal((await sendRequest(address, { method: 'GET', path: '/services/gauges/1', key: 'demo-shorewatch-emergency' })).status, 200)
     }
   })
 
@@ -102,7 +102,7 @@
     await new Promise((resolve) => setTimeout(resolve, 100))
     leaving.child.kill('SIGTERM')
     // A caller may use an address until the lifetime of its directory response ends.
-    const stamps: DemoAnswer[] = []
+    const stamps: DemoResponse[] = []
     const directoryExpiresAt = Date.now() + DIRECTORY_LIFETIME_SECONDS * 1000
     while (Date.now() < directoryExpiresAt) stamps.push(await requestStamp(leaving.address, `stop-${stamps.length}`))
     assert.ok(stamps.length > 0 && stamps.every((answer) => answer.status === 200))
@@ -116,7 +116,7 @@
   it('remove a frozen instance and accept it again when it resumes', async () => {
     const [first, , frozen] = instances as [InstanceProcess, InstanceProcess, InstanceProcess]
     const listInstances = async () => {
-      const answer = await sendCall(first.address, { method: 'GET', path: '/admin/status', key: 'op-platform' })
+      const answer = await sendRequest(first.address, { method: 'GET', path: '/admin/status', key: 'op-platform' })
       return (JSON.parse(answer.body) as { instances: { instance: string }[] }).instances.map((it) => it.instance)
     }
     frozen.child.kill('SIGSTOP')
@@ -141,7 +141,7 @@
     const retries = await Promise.all(Array.from({ length: 8 }, (_, i) => requestStamp(first.address, `killed-${i}`)))
     for (let i = 0; i < 8; i++) {
       assert.ok((window.runs.get(`killed-${i}`) ?? 0) <= 1, `killed-${i} ran twice`)
-      const answer = retries[i] as DemoAnswer
+      const answer = retries[i] as DemoResponse
       if (answer.status !== 200) assert.equal(answer.headers['pulleystack-ran'] === 'no' && (window.runs.get(`killed-${i}`) ?? 0) > 0, false)
     }
   })
--- a/program/demo/src/DemoCaller.ts
+++ b/program/demo/src/DemoCaller.ts
@@ -2,7 +2,7 @@
 import { parseAddress } from '@pulleystack/core.addresses'
 
 /** Response to one request. */
-export interface DemoAnswer {
+export interface DemoResponse {
   status: number
   headers: http.IncomingHttpHeaders
   body: string
@@ -11,10 +11,10 @@
 }
 
 /** Sends one HTTP request with the caller's key; rejects if no response arrives. */
-export function sendCall (
+export function sendRequest (
   address: string,
   opts: { method: string, path: string, key: string, headers?: http.OutgoingHttpHeaders, body?: unknown },
-): Promise<DemoAnswer> {
+): Promise<DemoResponse> {
   const requestBody = opts.body === undefined ? undefined : JSON.stringify(opts.body)
   const headers: http.OutgoingHttpHeaders = { authorization: `Bearer ${opts.key}`, ...opts.headers }
   if (requestBody !== undefined) Object.assign(headers, { 'content-type': 'application/json', 'content-length': Buffer.byteLength(requestBody) })
--- a/program/demo/src/DemoSystem.ts
+++ b/program/demo/src/DemoSystem.ts
@@ -2,7 +2,7 @@
 import { PulleystackError } from '@pulleystack/core.errors'
 import { InstanceRoles } from '@pulleystack/backend.interfaces'
 import { connectPlatform, startInstance, type Instance } from '@pulleystack/program.instance'
-import { sendCall } from './DemoCaller.js'
+import { sendRequest } from './DemoCaller.js'
 import { readExample, readExampleText } from './readExample.js'
 import { startStandIns, type StandIns } from './startStandIns.js'
 
@@ -45,9 +45,9 @@
   async applyExamples (onApplied: (partner: string, count: number) => void = () => undefined): Promise<void> {
     for (const [i, partner] of ['platform', 'peritos', 'shorewatch'].entries()) {
       const address = this.addresses[i % this.addresses.length] as string
-      await this.waitUntil(async () => (await sendCall(address, { method: 'GET', path: '/readyz', key: '' })).status === 200)
+      await this.waitUntil(async () => (await sendRequest(address, { method: 'GET', path: '/readyz', key: '' })).status === 200)
       const objects = readExample(`${partner}.jsonc`)
-      const answer = await sendCall(address, { method: 'POST', path: '/admin/apply', key: `demo-operator-${partner}`, body: { objects } })
+      const answer = await sendRequest(address, { method: 'POST', path: '/admin/apply', key: `demo-operator-${partner}`, body: { objects } })
       if (answer.status !== 200) throw new PulleystackError('INTERNAL', `Applying the example objects of ${partner} failed: ${answer.body}`)
       onApplied(partner, objects.length)
     }
--- a/program/demo/src/demoTraffic.ts
+++ b/program/demo/src/demoTraffic.ts
@@ -1,5 +1,5 @@
 import { RandomSource } from '@pulleystack/core.clock'
-import { readStreamText, sendCall, type DemoAnswer } from './DemoCaller.js'
+import { readStreamText, sendRequest, type DemoResponse } from './DemoCaller.js'
 import type { StandIns } from './startStandIns.js'
 
 const TOKENS_PER_RESPONSE = 24
@@ -20,8 +20,8 @@
 interface DemoCall {
   kind: string
   work: string
-  send: (address: string) => Promise<DemoAnswer>
-  isComplete: (answer: DemoAnswer) => boolean
+  send: (address: string) => Promise<DemoResponse>
+  isComplete: (answer: DemoResponse) => boolean
 }
 
 /** Sends mixed requests of both partners, each to a random address. */
@@ -39,7 +39,7 @@
 
 async function runCall (call: DemoCall, address: string, outcome: DemoOutcome): Promise<void> {
   const started = performance.now()
-  const answer = await call.send(address).catch((cause: Error): DemoAnswer => ({ status: 0, headers: {}, body: cause.message, isComplete: false }))
+  const answer = await call.send(address).catch((cause: Error): DemoResponse => ({ status: 0, headers: {}, body: cause.message, isComplete: false }))
   const counts = outcome.byKind[call.kind] ?? { sent: 0, complete: 0, worstMs: 0 }
   outcome.byKind[call.kind] = counts
   outcome.requests++
@@ -74,7 +74,7 @@
   return {
     kind,
     work,
-    send: (address) => sendCall(address, { method: 'POST', path: '/v1/chat/completions', key, body }),
+    send: (address) => sendRequest(address, { method: 'POST', path: '/v1/chat/completions', key, body }),
     isComplete: (answer) => readStreamText(answer.body) === buildExpectedText(work, TOKENS_PER_RESPONSE),
   }
 }
@@ -85,7 +85,7 @@
   return {
     kind: 'unstreamed review',
     work,
-    send: (address) => sendCall(address, { method: 'POST', path: '/v1/completions', key: 'demo-peritos-firm', body }),
+    send: (address) => sendRequest(address, { method: 'POST', path: '/v1/completions', key: 'demo-peritos-firm', body }),
     isComplete: (answer) => (JSON.parse(answer.body) as { choices?: { text: string }[] }).choices?.[0]?.text === buildExpectedText(work, TOKENS_PER_RESPONSE),
   }
 }
@@ -94,7 +94,7 @@
   return {
     kind,
     work,
-    send: (address) => sendCall(address, { method: 'GET', path, key }),
+    send: (address) => sendRequest(address, { method: 'GET', path, key }),
     isComplete: (answer) => answer.status === 200 && answer.body.includes(path.split('/').at(-1) ?? ''),
   }
 }
@@ -104,7 +104,7 @@
   return {
     kind,
     work,
-    send: (address) => sendCall(address, { method, path, key: 'demo-peritos-notary', headers: { host: 'window.peritos.example', work } }),
+    send: (address) => sendRequest(address, { method, path, key: 'demo-peritos-notary', headers: { host: 'window.peritos.example', work } }),
     isComplete: (answer) => answer.status === 200 && answer.body.includes(work),
   }
 }
@@ -117,7 +117,7 @@
     kind: 'stamp, sent twice',
     work,
     send: async (address) => {
-      const [first, second] = await Promise.all([sendCall(address, opts), sendCall(address, opts)])
+      const [first, second] = await Promise.all([sendRequest(address, opts), sendRequest(address, opts)])
       return first.body === second.body ? first : { ...first, isComplete: false }
     },
     isComplete: (answer) => answer.status === 200 && answer.body.includes(work),
@@ -130,7 +130,7 @@
   return {
     kind: 'warning',
     work,
-    send: (address) => sendCall(address, { method: 'POST', path: '/v1/completions', key: 'demo-shorewatch-emergency', headers: { 'idempotency-key': work }, body }),
+    send: (address) => sendRequest(address, { method: 'POST', path: '/v1/completions', key: 'demo-shorewatch-emergency', headers: { 'idempotency-key': work }, body }),
     isComplete: (answer) => answer.body.includes(`${work}#0`),
   }
 }
@@ -145,6 +145,6 @@
   for (const service of standIns.plainServices.values()) {
     for (const runs of service.runs.values()) duplicates += runs - 1
   }
-  for (const engine of standIns.engines) duplicates += engine.batch.started.length - new Set(engine.batch.started).size
+  for (const engine of standIns.engines) duplicates += engine.batch.startedAttempts.length - new Set(engine.batch.startedAttempts).size
   return duplicates
 }
--- a/program/entry/src/EntrySettings.ts
+++ b/program/entry/src/EntrySettings.ts
@@ -4,7 +4,7 @@
 export interface EntryBounds {
   /** Retries allowed per request, and additional retries, per window over all instances. */
   retryRatio: number
-  retryExtra: number
+  retryAllowance: number
   retryWindowMs: number
   /** Permitted excess over the quotas of teams, summed over all instances; undefined if quotas are not enforced. */
   quota: RateBounds | undefined
--- a/program/entry/src/createGateway.ts
+++ b/program/entry/src/createGateway.ts
@@ -2,7 +2,7 @@
 import type { Policy } from '@pulleystack/config.settings'
 import type { RandomSource } from '@pulleystack/core.clock'
 import { InstanceRelay, QuotaGate, RoutedGateway, StreamFlusher, SuspectGate, type BackendQueue, type RelayTarget } from '@pulleystack/gateway.routed'
-import { listRanked } from '@pulleystack/core.hashing'
+import { rankMembers } from '@pulleystack/core.hashing'
 import { isServing, type InstanceMesh } from '@pulleystack/membership.mesh'
 import type { PeerNetwork } from '@pulleystack/membership.peers'
 import type { ResidencyService } from '@pulleystack/placement.residency'
@@ -74,7 +74,7 @@
 export function createRelay ({ settings, deps, clock, log, mesh }: EntryParts & { mesh: InstanceMesh }): InstanceRelay {
   const listTargets = (): RelayTarget[] => {
     const serving = mesh.listLinked().filter(isServing)
-    const ranked = listRanked(settings.instance, serving, (identity) => identity.instance)
+    const ranked = rankMembers(settings.instance, serving, (identity) => identity.instance)
     return listNearestFirst(ranked, settings.dataHall)
   }
   return new InstanceRelay({ clock, agent: new BackendAgent(clock), protocol: deps.protocol, log, listTargets })
@@ -95,12 +95,12 @@
 }
 
 function createBudgets ({ settings, clock, mesh, network }: GatewayParts): RetryBudgets {
-  const { retryRatio, retryExtra, retryWindowMs } = settings.bounds
+  const { retryRatio, retryAllowance, retryWindowMs } = settings.bounds
   const membership = {
     countInstances: () => mesh.countServingSeen(),
     readServingMs: () => mesh.processRun.readServingMs(),
     readRunMs: () => mesh.processRun.readRunMs(),
     listPeers: () => mesh.listServing().map((identity) => identity.instance),
   }
-  return new RetryBudgets({ clock, network, membership, ratio: retryRatio, fixedAllowance: retryExtra, windowMs: retryWindowMs })
+  return new RetryBudgets({ clock, network, membership, ratio: retryRatio, fixedAllowance: retryAllowance, windowMs: retryWindowMs })
 }
--- a/program/instance/src/createControl.ts
+++ b/program/instance/src/createControl.ts
@@ -24,13 +24,13 @@
   shards: ReturnType<Placement['readStatus']>
 }
 
-type ListSubset = (partner: string, service: string) => readonly { instance: string }[]
+type ListServingInstances = (partner: string, service: string) => readonly { instance: string }[]
 
 /** Collection of reports, placement and status of one instance. */
 export interface Control {
   meter: DemandMeter
-  /** Starts collecting reports and placing items; `listSubset` lists the instances that serve a service. */
-  start: (signal: AbortSignal, listSubset: ListSubset) => void
+  /** Starts collecting reports and placing items; `listServingInstances` lists the instances that serve a service. */
+  start: (signal: AbortSignal, listServingInstances: ListServingInstances) => void
   /** Stops placement and hands it over to other instances. */
   handOver: () => Promise<void>
   readStatus: () => InstanceStatus
@@ -58,12 +58,12 @@
   return {
     meter,
     readStatus,
-    start: (signal, listSubset) => {
+    start: (signal, listServingInstances) => {
       startCollector({
         ...core,
         engines: deps.engines,
         table: routing.table,
-        listSubscribers: (server, items) => listInterested(core, listSubset, placement, server, items),
+        listSubscribers: (server, items) => listInterested(core, listServingInstances, placement, server, items),
         reportWaitMs: settings.timings.reportWaitMs,
       }, signal)
       placement = startPlacement({
@@ -88,7 +88,7 @@
 /** Lists the instances that need an engine's reports: those that serve its resident items, and the holder of its placement shard. */
 function listInterested (
   core: Core,
-  listSubset: ListSubset,
+  listServingInstances: ListServingInstances,
   placement: Placement | undefined,
   server: ListedInstance,
   items: readonly ResidentItem[],
@@ -102,7 +102,7 @@
   const interested = new Set<string>()
   for (const name of services) {
     const [partner, service] = name.split('/') as [string, string]
-    for (const member of listSubset(partner, service)) interested.add(member.instance)
+    for (const member of listServingInstances(partner, service)) interested.add(member.instance)
   }
   const holder = placement?.findHolder(server)
   if (holder !== undefined) interested.add(holder)
--- a/program/instance/src/createRoutedRequests.ts
+++ b/program/instance/src/createRoutedRequests.ts
@@ -1,6 +1,6 @@
 import type http from 'node:http'
 import { DEFAULT_POLICY } from '@pulleystack/config.settings'
-import { OwnRoutedProtocol, assignAttempt } from '@pulleystack/backend.http'
+import { DefaultRoutedProtocol, assignAttempt } from '@pulleystack/backend.http'
 import { Kinds, type ConfigObject } from '@pulleystack/config.objects'
 import { RouteTable, type Route, type RoutingConfig } from '@pulleystack/config.routes'
 import { PulleystackError, convertToError } from '@pulleystack/core.errors'
@@ -59,7 +59,7 @@
     log,
     agent: new BackendAgent(clock),
     suspects: new SuspectGate({ clock, log, fleet, quarantine: createQuarantine(core), probe: new ServerProbe(clock) }),
-    protocol: new OwnRoutedProtocol(),
+    protocol: new DefaultRoutedProtocol(),
     queue,
     fleet,
     reports: new ServerReports({ clock, log, fleet }),
--- a/program/instance/src/listen.ts
+++ b/program/instance/src/listen.ts
@@ -117,6 +117,6 @@
     ? new PulleystackError('BODY_TOO_SLOW', 'The request did not arrive in time', { ran: Ran.UNKNOWN })
     : new PulleystackError('BAD_HEADER', `Malformed request: ${error.code}`)
   const body = JSON.stringify(clientError.renderBody())
-  const status = `${clientError.row.status} ${http.STATUS_CODES[clientError.row.status]}`
+  const status = `${clientError.resultCode.status} ${http.STATUS_CODES[clientError.resultCode.status]}`
   socket.end(`HTTP/1.1 ${status}\r\nconnection: close\r\ncontent-type: application/json\r\npulleystack-ran: ${clientError.ran}\r\ncontent-length: ${Buffer.byteLength(body)}\r\n\r\n${body}`)
 }
--- a/program/instance/test/callers.test.ts
+++ b/program/instance/test/callers.test.ts
@@ -2,7 +2,7 @@
 import net from 'node:net'
 import { after, before, describe, it } from 'node:test'
 import { RandomSource } from '@pulleystack/core.clock'
-import { DemoSystem, readStreamText, sendCall, type DemoAnswer } from '@pulleystack/program.demo'
+import { DemoSystem, readStreamText, sendRequest, type DemoResponse } from '@pulleystack/program.demo'
 import type { FakeEngine } from '@pulleystack/emulator.stand-ins'
 
 const FIRM = 'demo-peritos-firm'
@@ -13,7 +13,7 @@
   error: { code: number, name: string, ran: string, field?: string }
 }
 
-function readError (answer: DemoAnswer): ErrorBody['error'] {
+function readError (answer: DemoResponse): ErrorBody['error'] {
   return (JSON.parse(answer.body) as ErrorBody).error
 }
 
@@ -44,8 +44,8 @@
 
   after(() => system.close())
 
-  function requestCompletion (body: unknown, opts: { key?: string, path?: string, headers?: Record<string, string>, to?: string } = {}): Promise<DemoAnswer> {
-    return sendCall(opts.to ?? address, { method: 'POST', path: opts.path ?? '/v1/completions', key: opts.key ?? FIRM, headers: opts.headers, body })
+  function requestCompletion (body: unknown, opts: { key?: string, path?: string, headers?: Record<string, string>, to?: string } = {}): Promise<DemoResponse> {
+    return sendRequest(opts.to ?? address, { method: 'POST', path: opts.path ?? '/v1/completions', key: opts.key ?? FIRM, headers: opts.headers, body })
   }
 
   describe('models', () => {
@@ -60,7 +60,7 @@
     })
 
     it('lists only models that the caller may use', async () => {
-      const answer = await sendCall(address, { method: 'GET', path: '/v1/models', key: EMERGENCY })
+      const answer = await sendRequest(address, { method: 'GET', path: '/v1/models', key: EMERGENCY })
       const names = (JSON.parse(answer.body) as { data: { id: string }[] }).data.map((it) => it.id)
       assert.deepEqual(names, ['warning-superior', 'warning-text'])
     })
@@ -96,21 +96,21 @@
   describe('plain services', () => {
     it('forwards any method and a large body', async () => {
       const body = { text: 'x'.repeat(400_000) }
-      const answer = await sendCall(address, { method: 'PUT', path: '/services/window/deeds?a=1', key: NOTARY, headers: { 'idempotency-key': 'k-put' }, body: { n: 1 } })
+      const answer = await sendRequest(address, { method: 'PUT', path: '/services/window/deeds?a=1', key: NOTARY, headers: { 'idempotency-key': 'k-put' }, body: { n: 1 } })
       assert.equal(answer.status, 200)
       assert.ok(answer.body.includes('/deeds?a=1'))
-      const large = await sendCall(address, { method: 'PATCH', path: '/services/gauges/x', key: EMERGENCY, body })
+      const large = await sendRequest(address, { method: 'PATCH', path: '/services/gauges/x', key: EMERGENCY, body })
       assert.equal((JSON.parse(large.body) as { length: number }).length, JSON.stringify(body).length)
     })
 
     it('requires an idempotency key where work may not be repeated', async () => {
-      const answer = await sendCall(address, { method: 'POST', path: '/services/window/stamps', key: NOTARY, body: {} })
+      const answer = await sendRequest(address, { method: 'POST', path: '/services/window/stamps', key: NOTARY, body: {} })
       assert.equal(readError(answer).name, 'KEY_MISSING')
     })
 
     it('runs work once for requests under one key at several instances, with the same response for each', async () => {
       const opts = { method: 'POST', path: '/services/window/stamps', key: NOTARY, headers: { 'idempotency-key': 'twice', 'work': 'twice' }, body: {} }
-      const answers = await Promise.all(system.addresses.map((it) => sendCall(it, opts)))
+      const answers = await Promise.all(system.addresses.map((it) => sendRequest(it, opts)))
       assert.deepEqual(new Set(answers.map((it) => it.body)).size, 1)
       assert.equal(system.standIns.plainServices.get('window-1')?.runs.get('twice'), 1)
     })
@@ -120,9 +120,9 @@
       assert.ok(window)
       window.loseAnswers = 1
       const opts = { method: 'POST', path: '/services/window/objections', key: NOTARY, headers: { 'idempotency-key': 'lost', 'work': 'lost' }, body: {} }
-      const first = await sendCall(address, opts)
+      const first = await sendRequest(address, opts)
       assert.equal(readError(first).ran, 'unknown')
-      const second = await sendCall(system.addresses[1] as string, { ...opts, headers: { ...opts.headers, 'pulleystack-deadline-ms': '600' } })
+      const second = await sendRequest(system.addresses[1] as string, { ...opts, headers: { ...opts.headers, 'pulleystack-deadline-ms': '600' } })
       assert.equal(readError(second).ran, 'unknown')
       assert.equal(window.runs.get('lost'), 1)
     })
@@ -130,8 +130,8 @@
     it('drops a response that belongs to another attempt', async () => {
       const gauge = system.standIns.plainServices.get('gauge-1')
       assert.ok(gauge)
-      gauge.mixUp = 1
-      const answer = await sendCall(address, { method: 'GET', path: '/services/gauges/status/77', key: EMERGENCY })
+      gauge.mislabelAnswers = 1
+      const answer = await sendRequest(address, { method: 'GET', path: '/services/gauges/status/77', key: EMERGENCY })
       assert.equal(answer.status, 200)
       assert.ok(answer.body.includes('/status/77'))
     })
@@ -139,15 +139,15 @@
     it('retries a lookup that was rejected before it ran', async () => {
       const gauge = system.standIns.plainServices.get('gauge-1')
       assert.ok(gauge)
-      gauge.refuse = 1
-      const answer = await sendCall(address, { method: 'GET', path: '/services/gauges/status/78', key: EMERGENCY })
+      gauge.rejectCalls = 1
+      const answer = await sendRequest(address, { method: 'GET', path: '/services/gauges/status/78', key: EMERGENCY })
       assert.equal(answer.status, 200)
     })
   })
 
   describe('the directory', () => {
     it('lists instances that serve the service, nearest first, with a lifetime', async () => {
-      const answer = await sendCall(address, { method: 'GET', path: '/v1/addresses?service=gauges&dataHall=cartago', key: EMERGENCY })
+      const answer = await sendRequest(address, { method: 'GET', path: '/v1/addresses?service=gauges&dataHall=cartago', key: EMERGENCY })
       const directory = JSON.parse(answer.body) as { addresses: { address: string, dataHall: string }[], lifetimeSeconds: number }
       assert.equal(directory.addresses.length, 3)
       assert.equal(directory.addresses[0]?.dataHall, 'cartago')
@@ -156,16 +156,16 @@
   })
 
   describe('invalid requests', () => {
-    const cases: { name: string, code: string, send: () => Promise<DemoAnswer> }[] = [
+    const cases: { name: string, code: string, send: () => Promise<DemoResponse> }[] = [
       { name: 'a wrong key', code: 'ACCESS_KEY_WRONG', send: () => requestCompletion({ model: 'appeal-large', prompt: 'x' }, { key: 'wrong' }) },
       { name: 'a body that is not a JSON object', code: 'BAD_BODY', send: () => requestCompletion('text') },
       { name: 'a missing field', code: 'BAD_BODY', send: () => requestCompletion({ model: 'appeal-large' }) },
       { name: 'a body that is too large', code: 'BODY_TOO_LARGE', send: () => requestCompletion({ model: 'appeal-large', prompt: 'x'.repeat(200_000) }) },
       { name: 'a deadline that is not a number', code: 'BAD_HEADER', send: () => requestCompletion({ model: 'appeal-large', prompt: 'x' }, { headers: { 'pulleystack-deadline-ms': 'soon' } }) },
-      { name: 'a service that the caller may not use', code: 'SERVICE_UNKNOWN', send: () => sendCall(address, { method: 'GET', path: '/services/gauges/1', key: NOTARY }) },
-      { name: 'an unknown path', code: 'NOT_FOUND', send: () => sendCall(address, { method: 'GET', path: '/v2/x', key: FIRM }) },
-      { name: 'a method that the path does not support', code: 'METHOD_NOT_ALLOWED', send: () => sendCall(address, { method: 'DELETE', path: '/v1/models', key: FIRM }) },
-      { name: 'a name that cannot be decoded', code: 'NOT_FOUND', send: () => sendCall(address, { method: 'GET', path: '/services/%E0%A4%A/1', key: FIRM }) },
+      { name: 'a service that the caller may not use', code: 'SERVICE_UNKNOWN', send: () => sendRequest(address, { method: 'GET', path: '/services/gauges/1', key: NOTARY }) },
+      { name: 'an unknown path', code: 'NOT_FOUND', send: () => sendRequest(address, { method: 'GET', path: '/v2/x', key: FIRM }) },
+      { name: 'a method that the path does not support', code: 'METHOD_NOT_ALLOWED', send: () => sendRequest(address, { method: 'DELETE', path: '/v1/models', key: FIRM }) },
+      { name: 'a name that cannot be decoded', code: 'NOT_FOUND', send: () => sendRequest(address, { method: 'GET', path: '/services/%E0%A4%A/1', key: FIRM }) },
     ]
     for (const testCase of cases) {
       it(`rejects ${testCase.name} with ${testCase.code}, not run`, async () => {
@@ -186,7 +186,7 @@
       const inputs = Array.from({ length: 300 }, (_, i) => i % 3 === 0 ? buildNoise() : mutate(valid))
       const received = await Promise.all(inputs.map((input) => sendRaw(address, input)))
       assert.ok(received.every((text) => text === '' || text.startsWith('HTTP/1.1 4')), received.find((text) => text !== '' && !text.startsWith('HTTP/1.1 4')))
-      assert.equal((await sendCall(address, { method: 'GET', path: '/healthz', key: '' })).status, 200)
+      assert.equal((await sendRequest(address, { method: 'GET', path: '/healthz', key: '' })).status, 200)
     })
 
     it('survives random frames on its peer listener', async () => {
@@ -198,7 +198,7 @@
         return Buffer.concat([Buffer.from(upgrade), frames])
       })
       await Promise.all(inputs.map((input) => sendRaw(peer, input)))
-      assert.equal((await sendCall(address, { method: 'GET', path: '/readyz', key: '' })).status, 200)
+      assert.equal((await sendRequest(address, { method: 'GET', path: '/readyz', key: '' })).status, 200)
     })
   })
 })
--- a/program/instance/test/operators.test.ts
+++ b/program/instance/test/operators.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict'
 import { after, before, describe, it } from 'node:test'
-import { DemoSystem, sendCall, type DemoAnswer } from '@pulleystack/program.demo'
+import { DemoSystem, sendRequest, type DemoResponse } from '@pulleystack/program.demo'
 
 const PERITOS = 'demo-operator-peritos'
 const SHOREWATCH = 'demo-operator-shorewatch'
@@ -17,15 +17,15 @@
 
   after(() => system.close())
 
-  function send (method: string, path: string, key: string, body?: unknown, at = 0): Promise<DemoAnswer> {
-    return sendCall(system.addresses[at] as string, { method, path, key, body })
+  function send (method: string, path: string, key: string, body?: unknown, at = 0): Promise<DemoResponse> {
+    return sendRequest(system.addresses[at] as string, { method, path, key, body })
   }
 
-  function apply (key: string, object: unknown, at = 0): Promise<DemoAnswer> {
+  function apply (key: string, object: unknown, at = 0): Promise<DemoResponse> {
     return send('POST', '/admin/apply', key, { objects: [object] }, at)
   }
 
-  function readName (answer: DemoAnswer): string {
+  function readName (answer: DemoResponse): string {
     return (JSON.parse(answer.body) as { error: { name: string } }).error.name
   }
 
@@ -78,7 +78,7 @@
     system.standIns.store.faults.delayMs = 0
     const statuses = answers.map((answer) => answer.status).sort()
     assert.deepEqual(statuses, [200, 409])
-    const loser = answers.find((answer) => answer.status === 409) as DemoAnswer
+    const loser = answers.find((answer) => answer.status === 409) as DemoResponse
     assert.ok(loser.body.includes('spec.deadlineMs'), loser.body)
   })
 
@@ -103,7 +103,7 @@
   })
 
   it('merges the events of all instances and hides those of the other partner', async () => {
-    await sendCall(system.addresses[1] as string, { method: 'GET', path: '/services/gauges/1', key: 'demo-shorewatch-emergency' })
+    await sendRequest(system.addresses[1] as string, { method: 'GET', path: '/services/gauges/1', key: 'demo-shorewatch-emergency' })
     const read = async (key: string) => (JSON.parse((await send('GET', '/admin/timeline?limit=5000', key)).body) as { events: { partner?: string, instance: string }[] }).events
     const all = await read(PLATFORM)
     assert.ok(new Set(all.map((event) => event.instance)).size === 3)
@@ -113,7 +113,7 @@
 
   it('keeps serving while the object API is down, and rejects changes with STORE_UNAVAILABLE', async () => {
     system.standIns.store.faults.down = true
-    const lookup = await sendCall(system.addresses[0] as string, { method: 'GET', path: '/services/gauges/5', key: 'demo-shorewatch-emergency' })
+    const lookup = await sendRequest(system.addresses[0] as string, { method: 'GET', path: '/services/gauges/5', key: 'demo-shorewatch-emergency' })
     const change = await apply(PERITOS, plain('peritos', 'later'))
     system.standIns.store.faults.down = false
     assert.equal(lookup.status, 200)
--- a/program/instance/test/routes.test.ts
+++ b/program/instance/test/routes.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict'
 import { after, before, describe, it } from 'node:test'
-import { DemoSystem, sendCall, type DemoAnswer } from '@pulleystack/program.demo'
+import { DemoSystem, sendRequest, type DemoResponse } from '@pulleystack/program.demo'
 
 const HOST = 'window.peritos.example'
 const NOTARY = 'demo-peritos-notary'
@@ -9,10 +9,10 @@
 describe('a routed request in a system without the platform', () => {
   let system: DemoSystem
 
-  const send = (opts: { method?: string, path: string, key?: string, host?: string, headers?: Record<string, string> }): Promise<DemoAnswer> =>
-    sendCall(system.addresses[0] as string, { method: opts.method ?? 'GET', path: opts.path, key: opts.key ?? NOTARY, headers: { host: opts.host ?? HOST, ...opts.headers } })
-  const apply = (partner: string, objects: unknown[]): Promise<DemoAnswer> =>
-    sendCall(system.addresses[0] as string, { method: 'POST', path: '/admin/apply', key: `demo-operator-${partner}`, body: { objects } })
+  const send = (opts: { method?: string, path: string, key?: string, host?: string, headers?: Record<string, string> }): Promise<DemoResponse> =>
+    sendRequest(system.addresses[0] as string, { method: opts.method ?? 'GET', path: opts.path, key: opts.key ?? NOTARY, headers: { host: opts.host ?? HOST, ...opts.headers } })
+  const apply = (partner: string, objects: unknown[]): Promise<DemoResponse> =>
+    sendRequest(system.addresses[0] as string, { method: 'POST', path: '/admin/apply', key: `demo-operator-${partner}`, body: { objects } })
 
   before(async () => {
     system = await DemoSystem.start({ instances: 2 })
@@ -39,8 +39,8 @@
   })
 
   it('is explained only to operators of its partner and of the platform', async () => {
-    const explain = (partner: string, path: string): Promise<DemoAnswer> =>
-      sendCall(system.addresses[0] as string, { method: 'GET', path: `/admin/explain-route?host=${HOST}&path=${path}`, key: `demo-operator-${partner}` })
+    const explain = (partner: string, path: string): Promise<DemoResponse> =>
+      sendRequest(system.addresses[0] as string, { method: 'GET', path: `/admin/explain-route?host=${HOST}&path=${path}`, key: `demo-operator-${partner}` })
     const answer = await explain('peritos', '/plots/1')
     assert.equal(answer.status, 200)
     const explained = JSON.parse(answer.body) as { route: string, conclusion: string, targets: { share: number, servers: { why: string }[] }[] }
--- a/routing/fleet/src/ServerReports.ts
+++ b/routing/fleet/src/ServerReports.ts
@@ -50,10 +50,10 @@
    * report was certainly made.
    */
   apply (backend: Backend, serverStatus: ServerStatus, source: ReportSource, reportedAfter = -Infinity): void {
-    const { serverId, leaving, retryAfterMs, namesLimit, limitPerSecond, unreadable } = serverStatus
+    const { serverId, leaving, retryAfterMs, hasLimit, limitPerSecond, invalidHeader } = serverStatus
     if (serverId !== undefined && serverId !== backend.id) return
-    if (unreadable !== undefined) this.recordUnreadable(backend, unreadable)
-    if (limitPerSecond !== undefined || (!namesLimit && reportedAfter > -Infinity)) this.applyLimit(backend, limitPerSecond, source, reportedAfter)
+    if (invalidHeader !== undefined) this.recordUnreadable(backend, invalidHeader)
+    if (limitPerSecond !== undefined || (!hasLimit && reportedAfter > -Infinity)) this.applyLimit(backend, limitPerSecond, source, reportedAfter)
     const { fleet, clock } = this.opts
     const isNewlyDraining = leaving && fleet.recordDraining(backend)
     const isBackoffExtended = retryAfterMs !== undefined && fleet.recordRetryAfter(backend, retryAfterMs, clock.readTime())
--- a/routing/fleet/test/ServerReports.test.ts
+++ b/routing/fleet/test/ServerReports.test.ts
@@ -8,7 +8,7 @@
 
 const SERVERS = ['a', 'b', 'c']
 const LONG_RECOVERED_MS = 60_000
-const DRAINING_STATEMENT = { serverId: undefined, leaving: true, retryAfterMs: undefined, namesLimit: false, limitPerSecond: undefined, unreadable: undefined }
+const DRAINING_STATEMENT = { serverId: undefined, leaving: true, retryAfterMs: undefined, hasLimit: false, limitPerSecond: undefined, invalidHeader: undefined }
 const DEMAND = { dataHall: 'z', excluded: new Set<string>(), generation: undefined, overcommitShare: 1, prefillLimit: Infinity }
 
 function createEntry (id: string, startedAt: number): BackendEntry {
--- a/routing/forward/src/openExchange.ts
+++ b/routing/forward/src/openExchange.ts
@@ -100,6 +100,6 @@
     return new PulleystackError('ATTEMPT_FAILED_UNKNOWN', 'The response belongs to another request')
   }
   if (facts.notRun) return new PulleystackError('BACKEND_REFUSED', 'The server rejected the request without running it', { ran: Ran.NO })
-  if (!facts.signed) return new PulleystackError('ATTEMPT_FAILED_UNKNOWN', 'The response is not signed by the server')
+  if (!facts.isConfirmedByServer) return new PulleystackError('ATTEMPT_FAILED_UNKNOWN', 'The response is not signed by the server')
   return undefined
 }
--- a/routing/quarantine/src/Quarantine.ts
+++ b/routing/quarantine/src/Quarantine.ts
@@ -1,4 +1,4 @@
-import { LONGEST_LOSS_MS, type ObjectStore } from '@pulleystack/backend.interfaces'
+import { MAX_RESTORE_LOSS_MS, type ObjectStore } from '@pulleystack/backend.interfaces'
 import type { Clock } from '@pulleystack/core.clock'
 import { findOwner } from '@pulleystack/core.hashing'
 import { defineChannel, type PeerNetwork } from '@pulleystack/membership.peers'
@@ -171,7 +171,7 @@
   /** Writes recent suspects again after the store was restored from an older snapshot; each is written by its owner, as the first writer may be gone. */
   private async restoreRecent (signal: AbortSignal): Promise<void> {
     const { clock, membership } = this.opts
-    const oldestAt = clock.readTime() - LONGEST_LOSS_MS
+    const oldestAt = clock.readTime() - MAX_RESTORE_LOSS_MS
     const recent = this.table.list().filter(({ identity, lastCrashAt }) => lastCrashAt >= oldestAt && this.findOwner(identity) === membership.instance)
     for (const { identity } of recent) {
       await this.archive?.storeWithRetries(identity, signal)
--- a/timeline/story/test/buildRequestTrace.test.ts
+++ b/timeline/story/test/buildRequestTrace.test.ts
@@ -20,7 +20,7 @@
   'not a log line',
 ].join('\n')
 
-describe('buildStory', () => {
+describe('buildRequestTrace', () => {
   const lines = readLogLines(LOG)
 
   it('ignores lines that are not log lines', () => {
--- a/tools/bench/src/entry/configure.ts
+++ b/tools/bench/src/entry/configure.ts
@@ -1,5 +1,5 @@
 import { hashAccessKey } from '@pulleystack/core.hashing'
-import { sendCall } from '@pulleystack/program.demo'
+import { sendRequest } from '@pulleystack/program.demo'
 
 /** Access key of the load's caller. */
 export const KEY = 'bench-caller'
@@ -14,9 +14,9 @@
     { kind: 'Model', partner: 'bench', name: 'm', spec: { service: 'drafts', bytes: 1_000_000, kvFloorBytes: 0, weights: 'm' } },
     { kind: 'Caller', partner: 'bench', name: 'c', spec: { keyHashes: [hashAccessKey(KEY)] } },
   ]
-  await retry(async () => (await sendCall(address, { method: 'POST', path: '/admin/apply', key: OPERATOR, body: { objects } })).status === 200)
+  await retry(async () => (await sendRequest(address, { method: 'POST', path: '/admin/apply', key: OPERATOR, body: { objects } })).status === 200)
   const body = { model: 'm', max_tokens: 1, prompt: 'x' }
-  await retry(async () => (await sendCall(address, { method: 'POST', path: '/v1/completions', key: KEY, headers: { 'pulleystack-deadline-ms': '500' }, body })).status === 200)
+  await retry(async () => (await sendRequest(address, { method: 'POST', path: '/v1/completions', key: KEY, headers: { 'pulleystack-deadline-ms': '500' }, body })).status === 200)
 }
 
 async function retry (check: () => Promise<boolean>): Promise<void> {
--- a/tools/bench/src/fleet/runDrain.ts
+++ b/tools/bench/src/fleet/runDrain.ts
@@ -1,4 +1,4 @@
-import { DemoSystem, readStreamText, sendCall, type DemoAnswer } from '@pulleystack/program.demo'
+import { DemoSystem, readStreamText, sendRequest, type DemoResponse } from '@pulleystack/program.demo'
 import { printReport, roundTo, type Row } from '../report.js'
 
 const INSTANCES = 4
@@ -47,7 +47,7 @@
 async function runCaller (system: DemoSystem, tally: Tally, state: { running: boolean }): Promise<void> {
   const first = system.addresses[0] as string
   while (state.running) {
-    const directory = await sendCall(first, { method: 'GET', path: '/v1/addresses?service=gauges', key: 'demo-shorewatch-emergency' })
+    const directory = await sendRequest(first, { method: 'GET', path: '/v1/addresses?service=gauges', key: 'demo-shorewatch-emergency' })
     const { addresses, lifetimeSeconds } = JSON.parse(directory.body) as { addresses: { address: string }[], lifetimeSeconds: number }
     const until = performance.now() + lifetimeSeconds * 1000
     for (let i = 0; performance.now() < until && state.running; i++) {
@@ -64,11 +64,11 @@
   note(tally, answer, (it) => readStreamText(it.body)?.split(' ').length === STREAM_TOKENS + 1)
 }
 
-function send (address: string, opts: Parameters<typeof sendCall>[1]): Promise<DemoAnswer | undefined> {
-  return sendCall(address, opts).catch(() => undefined)
+function send (address: string, opts: Parameters<typeof sendRequest>[1]): Promise<DemoResponse | undefined> {
+  return sendRequest(address, opts).catch(() => undefined)
 }
 
-function note (tally: Tally, answer: DemoAnswer | undefined, isWhole: (answer: DemoAnswer) => boolean): void {
+function note (tally: Tally, answer: DemoResponse | undefined, isWhole: (answer: DemoResponse) => boolean): void {
   tally.sent++
   if (!answer || answer.status !== 200) tally.refused++
   else if (isWhole(answer)) tally.whole++
--- a/tools/bench/src/routing/runPicking.ts
+++ b/tools/bench/src/routing/runPicking.ts
@@ -24,7 +24,7 @@
   for (const [name, createPicker] of Object.entries(PICKERS)) {
     const { answers, engines } = await simulate({ requests, engines: ENGINES, createPicker })
     const first = answers.flatMap((it) => it.firstMs ?? [])
-    const starts = engines.engines.map((engine) => engine.batch.started.length)
+    const starts = engines.engines.map((engine) => engine.batch.startedAttempts.length)
     rows.push({
       'picker': name,
       'first token p50 ms': roundTo(computeQuantile(first, 0.5), 0),
