--- a/tools/bench/src/capacity/measureTraffic.ts
+++ b/tools/bench/src/capacity/measureTraffic.ts
@@ -1,6 +1,6 @@
 import path from 'node:path'
 import { buildWorker } from '../buildWorker.js'
-import { Worker } from '../Worker.js'
+import { Worker } from '../BenchmarkWorker.js'
 import { configure, KEY } from '../entry/configure.js'
 import type { LoadResult } from '../entry/sendLoad.js'
 import { roundTo } from '../report.js'
--- a/tools/bench/src/entry/runEntry.ts
+++ b/tools/bench/src/entry/runEntry.ts
@@ -1,7 +1,7 @@
 import path from 'node:path'
 import { computeQuantile, printReport, printTable, roundTo, type Row } from '../report.js'
 import { buildWorker } from '../buildWorker.js'
-import { Worker } from '../Worker.js'
+import { Worker } from '../BenchmarkWorker.js'
 import { configure, KEY } from './configure.js'
 import type { LoadOptions, LoadResult } from './sendLoad.js'
 
--- a/tools/bench/src/entry/worker.ts
+++ b/tools/bench/src/entry/worker.ts
@@ -15,8 +15,8 @@
 import { SystemClock } from '@pulleystack/core.clock'
 import { readExampleText } from '@pulleystack/program.demo'
 import { connectPlatform, startInstance } from '@pulleystack/program.instance'
-import { ProfileTaker } from '../profile.js'
-import { answerTasks, readCpu } from '../Worker.js'
+import { ProfileTaker } from '../CpuProfiler.js'
+import { answerTasks, readCpu } from '../BenchmarkWorker.js'
 import { sendLoad, type LoadOptions } from './sendLoad.js'
 
 const GIB = 1024 ** 3
--- a/tools/bench/src/fleet/runConvergence.ts
+++ b/tools/bench/src/fleet/runConvergence.ts
@@ -2,9 +2,9 @@
 import { SystemClock } from '@pulleystack/core.clock'
 import { MemoryInstanceList, MemoryObjectStore } from '@pulleystack/emulator.stand-ins'
 import { buildCaller } from '@pulleystack/tools.testing'
-import { readCpu } from '../Worker.js'
+import { readCpu } from '../BenchmarkWorker.js'
 import { computeQuantile, printReport, roundTo, type Row } from '../report.js'
-import { MiniInstance } from './MiniInstance.js'
+import { MiniInstance } from './ControlPlaneInstance.js'
 
 const SIZES = [4, 8, 16, 32, 64]
 const OBJECTS = 500
--- a/tools/bench/src/index.ts
+++ b/tools/bench/src/index.ts
@@ -1,1 +1,1 @@
-export { benches } from './benches.js'
+export { benches } from './benchmarks.js'
--- a/tools/bench/src/main.ts
+++ b/tools/bench/src/main.ts
@@ -1,4 +1,4 @@
-import { benches } from './benches.js'
+import { benches } from './benchmarks.js'
 
 const [name = '', ...args] = process.argv.slice(2)
 const load = benches[name]
--- a/tools/bench/src/placement/demandTraces.ts
+++ b/tools/bench/src/placement/demandTraces.ts
@@ -1,6 +1,6 @@
 import { RandomSource } from '@pulleystack/core.clock'
 import type { PlanGroup, PlanServer } from '@pulleystack/placement.planner'
-import type { DemandTrace } from './PlacementSimulation.js'
+import type { DemandTrace } from './simulatePlacement.js'
 
 const STEPS = 240
 const GIB = 1
--- a/tools/bench/src/placement/runPlacement.ts
+++ b/tools/bench/src/placement/runPlacement.ts
@@ -3,7 +3,7 @@
 import { printReport, roundTo, type Row } from '../report.js'
 import { buildPool, buildTraces } from './demandTraces.js'
 import { findOptimum } from './findOptimum.js'
-import { simulatePlacement } from './PlacementSimulation.js'
+import { simulatePlacement } from './simulatePlacement.js'
 
 const SMALL_CASES = 12
 const STEADY_STEPS = 60
--- a/tools/bench/src/routing/runClaims.ts
+++ b/tools/bench/src/routing/runClaims.ts
@@ -3,7 +3,7 @@
 import { MemoryObjectStore } from '@pulleystack/emulator.stand-ins'
 import { ClaimClient } from '@pulleystack/routing.claims'
 import { createView } from '@pulleystack/tools.testing'
-import { readCpu } from '../Worker.js'
+import { readCpu } from '../BenchmarkWorker.js'
 import { computeQuantile, printReport, roundTo, type Row } from '../report.js'
 
 const NAMES = ['a', 'b', 'c', 'd']
--- a/tools/bench/src/routing/runOverload.ts
+++ b/tools/bench/src/routing/runOverload.ts
@@ -1,6 +1,6 @@
 import { RandomSource } from '@pulleystack/core.clock'
 import { computeQuantile, printReport, roundTo, type Row } from '../report.js'
-import { simulate, type SimulatedAnswer, type SimulatedRequest } from './Simulation.js'
+import { simulate, type SimulatedAnswer, type SimulatedRequest } from './simulateRouting.js'
 
 const ENGINES = { count: 4, slots: 8, tokenMs: 10, prefillMsPerBlock: 0 }
 const SECONDS = 12
--- a/tools/bench/src/routing/runPicking.ts
+++ b/tools/bench/src/routing/runPicking.ts
@@ -1,7 +1,7 @@
 import { RandomSource } from '@pulleystack/core.clock'
 import { CostPicker, LeastReportedPicker, RandomPicker, RoundRobinPicker, type Picker } from '@pulleystack/routing.picker'
 import { computeQuantile, printReport, roundTo, type Row } from '../report.js'
-import { simulate, type SimulatedRequest } from './Simulation.js'
+import { simulate, type SimulatedRequest } from './simulateRouting.js'
 
 const ENGINES = { count: 8, slots: 8, tokenMs: 10, prefillMsPerBlock: 12, cacheBlocks: 60 }
 const REQUESTS = 3_000
