--- a/tools/testing/src/MemoryEngines.ts
+++ b/tools/testing/src/MemoryEngines.ts
@@ -4,10 +4,10 @@
 import { EngineMemory } from '@pulleystack/emulator.stand-ins'
 import { err, ok, type Result } from 'neverthrow'
 
-/** Engines without sockets, for tests of placement: only memory and orders. */
+/** In-memory engine client for placement tests: handles orders and inventories, generates nothing. */
 export class MemoryEngines extends EngineClient {
   readonly memories = new Map<string, EngineMemory>()
-  /** Addresses that do not answer. */
+  /** Addresses of unreachable engines. */
   readonly down = new Set<string>()
 
   constructor (private readonly opts: { clock: Clock }) {
@@ -26,33 +26,33 @@
 
   async sendOrder (address: string, order: EngineOrder): Promise<Result<void, PulleystackError>> {
     const memory = this.memories.get(address)
-    if (!memory || this.down.has(address)) return err(createLost(Ran.NO))
+    if (!memory || this.down.has(address)) return err(createUnreachableError(Ran.NO))
     const outcome = memory.receiveOrder(order)
     if (outcome === 'accepted') return ok(undefined)
-    return err(outcome === 'lost' ? createLost(Ran.UNKNOWN) : new PulleystackError('ORDER_REFUSED', 'refused', { ran: Ran.NO }))
+    return err(outcome === 'lost' ? createUnreachableError(Ran.UNKNOWN) : new PulleystackError('ORDER_REFUSED', 'The engine rejected the order', { ran: Ran.NO }))
   }
 
   async readInventory (address: string): Promise<Result<EngineInventory, PulleystackError>> {
     const memory = this.memories.get(address)
-    if (!memory || this.down.has(address)) return err(createLost(Ran.NO))
+    if (!memory || this.down.has(address)) return err(createUnreachableError(Ran.NO))
     return ok({ life: '1', ageMs: 0, items: memory.listItems(), freeBytes: memory.freeBytes })
   }
 
   async generate (): Promise<GenerateEnd> {
-    throw createLost(Ran.NO)
+    throw createUnreachableError(Ran.NO)
   }
 
   async resume (): Promise<GenerateEnd> {
-    throw createLost(Ran.NO)
+    throw createUnreachableError(Ran.NO)
   }
 
   async cancel (): Promise<void> {}
 
   async readReport (): Promise<Result<EngineReport, PulleystackError>> {
-    return err(createLost(Ran.NO))
+    return err(createUnreachableError(Ran.NO))
   }
 }
 
-function createLost (ran: Ran): PulleystackError {
-  return new PulleystackError('ATTEMPT_FAILED_UNKNOWN', 'The engine does not answer', { ran })
+function createUnreachableError (ran: Ran): PulleystackError {
+  return new PulleystackError('ATTEMPT_FAILED_UNKNOWN', 'The engine is unreachable', { ran })
 }
--- a/tools/testing/src/MortalStore.ts
+++ b/tools/testing/src/MortalStore.ts
@@ -1,8 +1,8 @@
 import { ObjectStore, type StoreEpochs } from '@pulleystack/backend.interfaces'
 
-type Answer<M extends Exclude<keyof ObjectStore, 'epochs'>> = ReturnType<ObjectStore[M]>
+type StoreResult<M extends Exclude<keyof ObjectStore, 'epochs'>> = ReturnType<ObjectStore[M]>
 
-/** One instance's way to a shared store. After its death nothing is sent and nothing comes back. */
+/** One instance's connection to a shared store. Once `dead` is set, calls are not sent and never settle. */
 export class MortalStore extends ObjectStore {
   dead = false
   override readonly epochs: StoreEpochs
@@ -12,29 +12,29 @@
     this.epochs = inner.epochs
   }
 
-  readObject (key: string): Answer<'readObject'> {
-    return this.pass(() => this.inner.readObject(key))
+  readObject (key: string): StoreResult<'readObject'> {
+    return this.send(() => this.inner.readObject(key))
   }
 
-  listObjects (prefix: string): Answer<'listObjects'> {
-    return this.pass(() => this.inner.listObjects(prefix))
+  listObjects (prefix: string): StoreResult<'listObjects'> {
+    return this.send(() => this.inner.listObjects(prefix))
   }
 
-  writeObject (key: string, value: unknown, expectedVersion: number): Answer<'writeObject'> {
-    return this.pass(() => this.inner.writeObject(key, value, expectedVersion))
+  writeObject (key: string, value: unknown, expectedVersion: number): StoreResult<'writeObject'> {
+    return this.send(() => this.inner.writeObject(key, value, expectedVersion))
   }
 
-  deleteObject (key: string, expectedVersion: number): Answer<'deleteObject'> {
-    return this.pass(() => this.inner.deleteObject(key, expectedVersion))
+  deleteObject (key: string, expectedVersion: number): StoreResult<'deleteObject'> {
+    return this.send(() => this.inner.deleteObject(key, expectedVersion))
   }
 
-  waitForChanges (prefix: string, afterVersion: number, waitMs: number, signal?: AbortSignal): Answer<'waitForChanges'> {
-    return this.pass(() => this.inner.waitForChanges(prefix, afterVersion, waitMs, signal))
+  waitForChanges (prefix: string, afterVersion: number, waitMs: number, signal?: AbortSignal): StoreResult<'waitForChanges'> {
+    return this.send(() => this.inner.waitForChanges(prefix, afterVersion, waitMs, signal))
   }
 
-  private async pass<T> (send: () => Promise<T>): Promise<T> {
+  private async send<T> (callStore: () => Promise<T>): Promise<T> {
     if (this.dead) return new Promise<T>(() => undefined)
-    const answer = await send()
-    return this.dead ? new Promise<T>(() => undefined) : answer
+    const result = await callStore()
+    return this.dead ? new Promise<T>(() => undefined) : result
   }
 }
--- a/tools/testing/src/configBuilders.ts
+++ b/tools/testing/src/configBuilders.ts
@@ -2,18 +2,18 @@
 import { ConfigReplica } from '@pulleystack/config.replica'
 import { hashAccessKey } from '@pulleystack/core.hashing'
 
-const MEBI = 1024 ** 2
+const MIB = 1024 ** 2
 
 export function buildService (partner: string, name: string, spec: Partial<ServiceSpec> = {}): ConfigObject<'Service'> {
   return { kind: Kinds.SERVICE, partner, name, spec: { type: 'model', class: 'work', ...spec } }
 }
 
 export function buildModel (partner: string, name: string, spec: Partial<ModelSpec> = {}): ConfigObject<'Model'> {
-  return { kind: Kinds.MODEL, partner, name, spec: { service: 'drafts', bytes: 10 * MEBI, kvFloorBytes: 0, weights: `${partner}/${name}`, ...spec } }
+  return { kind: Kinds.MODEL, partner, name, spec: { service: 'drafts', bytes: 10 * MIB, kvFloorBytes: 0, weights: `${partner}/${name}`, ...spec } }
 }
 
 export function buildAdapter (partner: string, name: string, spec: Partial<AdapterSpec> & { model: string }): ConfigObject<'Adapter'> {
-  return { kind: Kinds.ADAPTER, partner, name, spec: { bytes: MEBI, weights: `${partner}/+${name}`, ...spec } }
+  return { kind: Kinds.ADAPTER, partner, name, spec: { bytes: MIB, weights: `${partner}/+${name}`, ...spec } }
 }
 
 export function buildCaller (partner: string, name: string, key: string, labels: Record<string, string> = {}): ConfigObject<'Caller'> {
@@ -24,10 +24,10 @@
   return { kind: Kinds.QUOTA, partner, name: 'pool', spec }
 }
 
-/** A replica that holds the objects, in their order. */
+/** Creates a replica of the objects, with versions in their order. */
 export function createReplica (objects: readonly ConfigObject[]): ConfigReplica {
   const replica = new ConfigReplica()
-  const listed = objects.map((value, i) => ({ key: buildObjectKey(value.kind, value.partner, value.name), version: i + 1, value }))
-  replica.applyListing({ objects: listed, version: listed.length })
+  const objectEntries = objects.map((value, i) => ({ key: buildObjectKey(value.kind, value.partner, value.name), version: i + 1, value }))
+  replica.applyListing({ objects: objectEntries, version: objectEntries.length })
   return replica
 }
--- a/tools/testing/src/createView.ts
+++ b/tools/testing/src/createView.ts
@@ -3,9 +3,9 @@
 import { MembershipView } from '@pulleystack/membership.view'
 import { InstanceRoles, type ListedInstance } from '@pulleystack/backend.interfaces'
 
-/** A view of a system of instances by name, spread over three data halls. */
-export function createView (clock: Clock, self: string, names: readonly string[]): { view: MembershipView, identity: PeerIdentity } {
-  const listed = names.map((name, i): ListedInstance => ({
+/** Creates the membership view of instance `self`, with all named instances listed and spread over three data halls. */
+export function createView (clock: Clock, self: string, instanceNames: readonly string[]): { view: MembershipView, identity: PeerIdentity } {
+  const listedInstances = instanceNames.map((name, i): ListedInstance => ({
     id: name,
     role: InstanceRoles.ENTRY,
     address: `${name}:1`,
@@ -15,17 +15,17 @@
     leaving: false,
     labels: {},
   }))
-  const own = listed.find((it) => it.id === self) as ListedInstance
+  const ownEntry = listedInstances.find((it) => it.id === self) as ListedInstance
   const identity: PeerIdentity = {
     instance: self,
     incarnation: 1,
-    address: own.address,
-    peerAddress: own.peerAddress ?? '',
-    region: own.region,
-    dataHall: own.dataHall,
+    address: ownEntry.address,
+    peerAddress: ownEntry.peerAddress ?? '',
+    region: ownEntry.region,
+    dataHall: ownEntry.dataHall,
     leaving: false,
   }
   const view = new MembershipView({ clock, self: identity })
-  view.applyList(listed)
+  view.applyList(listedInstances)
   return { view, identity }
 }
