--- a/features/replay.feature
+++ b/features/replay.feature
@@ -1,11 +1,11 @@
-Feature: Recorded traces end as stated
-  Each trace is replayed on an injected clock over the real queue, picker, dispatcher and claims of three instances.
+Feature: Replayed traces have the expected outcome
+  Each trace is replayed on a manual clock through the real queue, picker, dispatcher and claims of three instances.
 
   Scenario Outline: <trace>
     Given the trace "<trace>"
     When it is replayed
-    Then every request has exactly one answer, whole or a truthful error
-    And the outcome is as stated
+    Then every request has exactly one answer, either complete or an error
+    And the outcome is the expected one
 
     Examples:
       | trace                     |
--- a/features/steps/replay.ts
+++ b/features/steps/replay.ts
@@ -1,25 +1,25 @@
 import assert from 'node:assert/strict'
 import { Given, Then, When } from '@cucumber/cucumber'
-import { checkOutcome, isWhole, readTrace, replayTrace, type ReplayResult, type Trace } from '@pulleystack/tools.replay'
+import { checkOutcome, isComplete, readTrace, replayTrace, type ReplayResult, type Trace } from '@pulleystack/tools.replay'
 
-interface World {
+interface ReplayWorld {
   trace: Trace
   result: ReplayResult
 }
 
-Given('the trace {string}', function (this: World, name: string) {
+Given('the trace {string}', function (this: ReplayWorld, name: string) {
   this.trace = readTrace(name)
 })
 
-When('it is replayed', { timeout: 60_000 }, async function (this: World) {
+When('it is replayed', { timeout: 60_000 }, async function (this: ReplayWorld) {
   this.result = await replayTrace(this.trace)
 })
 
-Then('every request has exactly one answer, whole or a truthful error', function (this: World) {
+Then('every request has exactly one answer, either complete or an error', function (this: ReplayWorld) {
   assert.equal(this.result.answers.length, this.trace.requests.length)
-  for (const answer of this.result.answers) assert.ok(answer.error ?? isWhole(answer), `${answer.request.name} got ${answer.text}`)
+  for (const answer of this.result.answers) assert.ok(answer.error ?? isComplete(answer), `${answer.request.name} got ${answer.text}`)
 })
 
-Then('the outcome is as stated', function (this: World) {
+Then('the outcome is the expected one', function (this: ReplayWorld) {
   assert.deepEqual(checkOutcome(this.result, this.trace.outcome), [])
 })
--- a/tools/bench/src/routing/runPicking.ts
+++ b/tools/bench/src/routing/runPicking.ts
@@ -30,7 +30,7 @@
       'first token p50 ms': roundTo(computeQuantile(first, 0.5), 0),
       'p95 ms': roundTo(computeQuantile(first, 0.95), 0),
       'p99 ms': roundTo(computeQuantile(first, 0.99), 0),
-      'cache hit share': roundTo(engines.hitShare, 3),
+      'cache hit share': roundTo(engines.cacheHitRatio, 3),
       'busiest / mean': roundTo(Math.max(...starts) / (starts.reduce((sum, it) => sum + it, 0) / starts.length), 2),
       'failed': answers.filter((it) => it.error).length,
     })
--- a/tools/bench/src/routing/simulateRouting.ts
+++ b/tools/bench/src/routing/simulateRouting.ts
@@ -68,14 +68,14 @@
   return NODES.map((name, i) => {
     const random = new RandomSource(100 + i)
     const picker = opts.createPicker?.(random)
-    return new RoutingNode({ clock, random, name, names: NODES, hub, store, engines, replica, items: [ITEM], createId: () => `x${ids++}`, picker, stallMs: 60_000 })
+    return new RoutingNode({ clock, random, name, instanceNames: NODES, hub, store, engines, replica, items: [ITEM], createId: () => `x${ids++}`, picker, stallMs: 60_000 })
   })
 }
 
 function keepReporting (clock: ManualClock, engines: TimedEngines, nodes: readonly RoutingNode[]): void {
   for (let i = 0; i < engines.engines.length; i++) {
     const report = engines.takeReport(i)
-    const passOn = (ageMs: number): void => nodes.forEach((node) => node.takeReport(engines, i, report, ageMs))
+    const passOn = (ageMs: number): void => nodes.forEach((node) => node.applyReport(engines, i, report, ageMs))
     if (clock.readTime() === 0) passOn(0)
     else clock.setTimer(LAG_MS, () => passOn(LAG_MS))
   }
--- a/tools/replay/src/RoutingNode.ts
+++ b/tools/replay/src/RoutingNode.ts
@@ -12,26 +12,26 @@
 import { createView } from '@pulleystack/tools.testing'
 import type { TimedEngines } from './TimedEngines.js'
 
-const STALL_MS = 1_000
-const QUEUED = 5_000
+const DEFAULT_STALL_MS = 1_000
+const MAX_QUEUED_PER_PARTNER = 5_000
 
 export interface RoutingNodeOptions {
   clock: Clock
   random: RandomSource
   name: string
-  names: readonly string[]
+  instanceNames: readonly string[]
   hub: FakeHub
   store: ObjectStore
   engines: TimedEngines
   replica: ConfigReplica
-  /** Items that every engine has ready. */
+  /** Items that are ready on every engine. */
   items: readonly string[]
   picker?: Picker
   stallMs?: number
   createId: () => string
 }
 
-/** The routing half of one instance, on engines in memory. */
+/** The routing components of one instance, connected to in-memory engines. */
 export class RoutingNode {
   readonly name: string
   readonly clock: Clock
@@ -45,7 +45,7 @@
 
   constructor (opts: RoutingNodeOptions) {
     const { clock, random, name, createId } = opts
-    const { view, identity } = createView(clock, name, opts.names)
+    const { view, identity } = createView(clock, name, opts.instanceNames)
     this.name = name
     this.clock = clock
     this.view = view
@@ -53,9 +53,9 @@
     this.ring = new EventRing({ clock, instance: name, dataHall: 'h', capacity: 1_000 })
     const network = opts.hub.createNode(identity)
     const index = new ConfigIndex(opts.replica)
-    this.table.applyServers(opts.engines.engines.map((_, i) => buildServer(i)), 0)
+    this.table.applyServers(opts.engines.engines.map((_, i) => buildListedEngine(i)), 0)
     const eligible = new EligibleRunners({ index, replica: opts.replica, table: this.table, view })
-    this.queue = new WorkQueue<Place>({ clock, maxPerPartner: QUEUED, getWeight: () => 1 })
+    this.queue = new WorkQueue<Place>({ clock, maxPerPartner: MAX_QUEUED_PER_PARTNER, getWeight: () => 1 })
     const picker = opts.picker ?? new CostPicker(random)
     const places = new Places({ clock, random, view, index, eligible, queue: this.queue, picker, ring: this.ring })
     this.table.changes.subscribe(() => this.queue.pump())
@@ -67,19 +67,19 @@
       budgets: new Budgets(),
       createId,
       engines: opts.engines,
-      stallMs: opts.stallMs ?? STALL_MS,
+      stallMs: opts.stallMs ?? DEFAULT_STALL_MS,
     })
     this.claims = new ClaimClient({ clock, view, network, store: opts.store, shards: 2, keepMs: 600_000, writesPerSecond: 40, createOperation: createId })
   }
 
-  /** Takes a report as its collector would pass it on. */
-  takeReport (engines: TimedEngines, i: number, report: ReturnType<TimedEngines['takeReport']>, ageMs: number): void {
+  /** Applies an engine report the way a collector relays it. */
+  applyReport (engines: TimedEngines, i: number, report: ReturnType<TimedEngines['takeReport']>, ageMs: number): void {
     if (!report) return
     const items = this.items.map((item) => ({ item, bytes: 1, state: 'ready' as const }))
     this.table.applyUpdate({ ...report, server: `e${i}`, everyMs: 250, items, ageMs }, this.clock.readTime())
   }
 }
 
-function buildServer (i: number): ListedInstance {
+function buildListedEngine (i: number): ListedInstance {
   return { id: `e${i}`, role: InstanceRoles.ENGINE, address: String(i), region: 'r', dataHall: `hall-${i % 3}`, leaving: false, labels: {} }
 }
--- a/tools/replay/src/TimedEngines.ts
+++ b/tools/replay/src/TimedEngines.ts
@@ -4,13 +4,13 @@
 import { BatchModel, hashPromptBlocks, type BatchOptions } from '@pulleystack/emulator.stand-ins'
 import { err, type Result } from 'neverthrow'
 
-/** One engine without a socket: the stand-ins' timing, and a switch for life, death and freezing. */
+/** One in-memory engine. A frozen engine accepts work but sends no tokens and no reports. */
 interface TimedEngine {
   batch: BatchModel
   state: 'live' | 'dead' | 'frozen'
-  life: number
+  incarnation: number
   seq: number
-  failures: Set<(error: PulleystackError) => void>
+  rejectCallbacks: Set<(error: PulleystackError) => void>
 }
 
 export interface TimedEnginesOptions extends Partial<Omit<BatchOptions, 'clock'>> {
@@ -18,36 +18,36 @@
   count: number
 }
 
-/** Engines in memory that generate with the timing of continuous batching; every start is counted by the request's name. */
+/** In-memory engines that generate tokens with the timing of continuous batching. */
 export class TimedEngines extends EngineClient {
   readonly engines: TimedEngine[]
-  /** Starts from the first token, by the last word of the prompt. */
-  readonly started = new Map<string, number>()
-  private readonly served = new Map<string, { hits: number, blocks: number }>()
+  /** Number of generations started from the first token, by the last word of the prompt (the request's name). */
+  readonly startCounts = new Map<string, number>()
+  private readonly blockCounts = new Map<string, { hits: number, blocks: number }>()
 
   constructor (private readonly opts: TimedEnginesOptions) {
     super()
-    this.engines = Array.from({ length: opts.count }, () => ({ batch: this.createBatch(), state: 'live', life: 1, seq: 0, failures: new Set() }))
+    this.engines = Array.from({ length: opts.count }, () => ({ batch: this.createBatch(), state: 'live', incarnation: 1, seq: 0, rejectCallbacks: new Set() }))
   }
 
   setState (i: number, state: TimedEngine['state']): void {
     const engine = this.engines[i] as TimedEngine
     if (state === 'dead') {
       engine.batch.reset()
-      engine.life++
-      const lost = new PulleystackError('ATTEMPT_FAILED_UNKNOWN', 'The engine died', { ran: Ran.UNKNOWN })
-      for (const fail of [...engine.failures]) fail(lost)
+      engine.incarnation++
+      const crashError = new PulleystackError('ATTEMPT_FAILED_UNKNOWN', 'The engine crashed', { ran: Ran.UNKNOWN })
+      for (const reject of [...engine.rejectCallbacks]) reject(crashError)
     }
     engine.state = state
   }
 
-  /** The report that an engine would give now, and what it has cached since the last. */
+  /** Returns the engine's current report with the cache events since the previous one; undefined unless it is live. */
   takeReport (i: number): EngineReport | undefined {
     const engine = this.engines[i] as TimedEngine
     if (engine.state !== 'live') return undefined
     return {
       seq: ++engine.seq,
-      life: String(engine.life),
+      life: String(engine.incarnation),
       ageMs: 0,
       ...engine.batch.load,
       items: [],
@@ -59,14 +59,14 @@
 
   async generate (address: string, call: GenerateCall, sink: TokenSink, signal: AbortSignal): Promise<GenerateEnd> {
     const engine = this.engines[Number(address)] as TimedEngine
-    if (engine.state === 'dead') throw new PulleystackError('ATTEMPT_FAILED_NOT_RUN', 'The engine cannot be reached')
+    if (engine.state === 'dead') throw new PulleystackError('ATTEMPT_FAILED_NOT_RUN', 'The engine is unreachable')
     const name = call.prompt.trim().split(/\s+/).at(-1) ?? ''
-    this.started.set(name, (this.started.get(name) ?? 0) + (call.offset === 0 ? 1 : 0))
+    this.startCounts.set(name, (this.startCounts.get(name) ?? 0) + (call.offset === 0 ? 1 : 0))
     return this.stream(engine, call, { name, sink, signal })
   }
 
   async resume (): Promise<GenerateEnd> {
-    throw new PulleystackError('BACKEND_REFUSED', 'The engine does not know the attempt', { ran: Ran.NO })
+    throw new PulleystackError('BACKEND_REFUSED', 'The engine has no record of the attempt', { ran: Ran.NO })
   }
 
   async cancel (address: string, attempt: string): Promise<void> {
@@ -74,7 +74,7 @@
   }
 
   async readReport (): Promise<Result<EngineReport, PulleystackError>> {
-    return err(new PulleystackError('INTERNAL', 'Reports are taken by the replay'))
+    return err(new PulleystackError('INTERNAL', 'Engine reports are not requested in a replay'))
   }
 
   async readInventory (): Promise<Result<EngineInventory, PulleystackError>> {
@@ -85,11 +85,11 @@
     return err(new PulleystackError('INTERNAL', 'There is no placement in a replay'))
   }
 
-  /** Share of prompt blocks that were found cached. */
-  get hitShare (): number {
+  /** Share of prompt blocks found in an engine's cache. */
+  get cacheHitRatio (): number {
     let hits = 0
     let blocks = 0
-    for (const it of this.served.values()) {
+    for (const it of this.blockCounts.values()) {
       hits += it.hits
       blocks += it.blocks
     }
@@ -105,9 +105,9 @@
     const { attempt, offset, priority, maxTokens: tokens } = call
     const blocks = hashPromptBlocks(call.item, call.prompt)
     const cached = new Set(engine.batch.listCached())
-    this.served.set(attempt, { hits: blocks.filter((block) => cached.has(block)).length, blocks: blocks.length })
+    this.blockCounts.set(attempt, { hits: blocks.filter((block) => cached.has(block)).length, blocks: blocks.length })
     return new Promise((resolve, reject) => {
-      engine.failures.add(reject)
+      engine.rejectCallbacks.add(reject)
       opts.signal.addEventListener('abort', () => reject(new PulleystackError('ATTEMPT_FAILED_UNKNOWN', 'aborted')), { once: true })
       engine.batch.submit({
         attempt,
@@ -115,11 +115,11 @@
         tokens,
         offset,
         priority,
-        onToken: (at) => {
-          if (engine.state === 'live') void opts.sink({ attempt, offset: at, text: `${opts.name}#${at} ` })
+        onToken: (tokenOffset) => {
+          if (engine.state === 'live') void opts.sink({ attempt, offset: tokenOffset, text: `${opts.name}#${tokenOffset} ` })
         },
         onEnd: () => {
-          engine.failures.delete(reject)
+          engine.rejectCallbacks.delete(reject)
           if (engine.state === 'live') resolve({ attempt, finish: 'stop', tokens })
         },
       })
--- a/tools/replay/src/Trace.ts
+++ b/tools/replay/src/Trace.ts
@@ -1,20 +1,20 @@
 import { readFileSync } from 'node:fs'
 import path from 'node:path'
 
-/** One recorded request. */
+/** One request of a trace. */
 export interface TraceRequest {
-  /** Milliseconds from the start. */
+  /** Milliseconds since the start of the trace. */
   at: number
   partner: string
   class: 'lookup' | 'work'
-  /** Its kind before the dash, and a number. */
+  /** `KIND-NUMBER`. Requests with the same name ask for the same work. */
   name: string
   tokens: number
   deadlineMs: number
-  /** Idempotency-Key of work that may not be repeated. */
+  /** Idempotency-Key of work that must not run twice. */
   key?: string
   instance?: number
-  /** Leading characters shared with others, in blocks. */
+  /** Leading characters shared with other requests, in blocks. */
   prefix?: number
   prefixBlocks?: number
 }
@@ -25,7 +25,7 @@
   | { at: number, do: 'loseStoreAnswers', count: number }
   | { at: number, do: 'loseStoreWrites', count: number }
 
-/** What must come out; fields that are left out are not asked for. */
+/** The expected outcome; fields that are left out are not checked. */
 export interface TraceOutcome {
   complete?: number
   completeAtLeast?: number
@@ -36,7 +36,7 @@
   ranAtMostOnce?: string[]
   ranExactlyOnce?: string[]
   sameAnswer?: boolean
-  /** Requests that were told that they did not run though they did. */
+  /** Requests that were reported as not run although they ran. */
   untruthful?: number
   /** Requests without an answer. */
   silent?: number
@@ -52,9 +52,9 @@
   outcome: TraceOutcome
 }
 
-const DEPTH_OF_ROOT = '../../..'
+const PATH_TO_ROOT = '../../..'
 
-/** Reads a trace of the folder traces/. */
+/** Reads a trace from the `traces` folder. */
 export function readTrace (name: string): Trace {
-  return JSON.parse(readFileSync(path.join(import.meta.dirname, DEPTH_OF_ROOT, 'traces', `${name}.json`), 'utf8')) as Trace
+  return JSON.parse(readFileSync(path.join(import.meta.dirname, PATH_TO_ROOT, 'traces', `${name}.json`), 'utf8')) as Trace
 }
--- a/tools/replay/src/replayTrace.ts
+++ b/tools/replay/src/replayTrace.ts
@@ -10,26 +10,26 @@
 import { TimedEngines } from './TimedEngines.js'
 import type { Trace, TraceFault, TraceRequest } from './Trace.js'
 
-const NODES = ['a', 'b', 'c']
-const REPORT_MS = 100
-const REPORT_LAG_MS = 150
+const INSTANCE_NAMES = ['a', 'b', 'c']
+const REPORT_INTERVAL_MS = 100
+const REPORT_DELAY_MS = 150
 const STEP_MS = 25
-const TAIL_MS = 90_000
+const MAX_WAIT_AFTER_LAST_MS = 90_000
 const SEED = 31
 
-/** What one request came to. */
+/** The answer or error of one request. */
 export interface ReplayedAnswer {
   request: TraceRequest
-  ms: number
+  durationMs: number
   text?: string
   error?: PulleystackError
 }
 
 export interface ReplayResult {
   answers: ReplayedAnswer[]
-  /** Starts by name of the work. */
-  started: Map<string, number>
-  expected: number
+  /** Number of starts by request name. */
+  startCounts: Map<string, number>
+  requestCount: number
 }
 
 const ENGINE_STATES = { killEngine: 'dead', freezeEngine: 'frozen', reviveEngine: 'live' } as const
@@ -41,21 +41,21 @@
   nodes: RoutingNode[]
   answers: ReplayedAnswer[]
   random: RandomSource
-  ids: number
+  nextId: number
 }
 
-/** Replays a trace to its end. */
+/** Replays a trace until every request is answered and every fault applied, or the wait after the last request expires. */
 export async function replayTrace (trace: Trace): Promise<ReplayResult> {
   const replay = createReplay(trace)
   for (const request of trace.requests) replay.clock.setTimer(request.at, () => void runRequest(replay, request))
-  for (const fault of trace.faults) replay.clock.setTimer(fault.at, () => bringAbout(replay, fault))
-  keepReporting(replay, trace)
-  const last = Math.max(...trace.requests.map((request) => request.at))
-  for (let at = 0; at < last + TAIL_MS && !isDone(replay, trace, at); at += STEP_MS) await replay.clock.advance(STEP_MS)
-  return { answers: replay.answers, started: replay.engines.started, expected: trace.requests.length }
+  for (const fault of trace.faults) replay.clock.setTimer(fault.at, () => applyFault(replay, fault))
+  scheduleReports(replay, trace)
+  const lastRequestAt = Math.max(...trace.requests.map((request) => request.at))
+  for (let at = 0; at < lastRequestAt + MAX_WAIT_AFTER_LAST_MS && !isFinished(replay, trace, at); at += STEP_MS) await replay.clock.advance(STEP_MS)
+  return { answers: replay.answers, startCounts: replay.engines.startCounts, requestCount: trace.requests.length }
 }
 
-function isDone (replay: Replay, trace: Trace, at: number): boolean {
+function isFinished (replay: Replay, trace: Trace, at: number): boolean {
   return replay.answers.length === trace.requests.length && trace.faults.every((fault) => fault.at < at)
 }
 
@@ -72,35 +72,35 @@
     buildService(partner, 'work', { class: 'work' }),
     buildModel(partner, 'm', { service: 'work' }),
   ]))
-  const replay: Replay = { clock, store, engines, nodes: [], answers: [], random, ids: 0 }
+  const replay: Replay = { clock, store, engines, nodes: [], answers: [], random, nextId: 0 }
   const items = partners.map((partner) => buildModelItem(partner, 'm'))
-  replay.nodes = NODES.map((name) => new RoutingNode({
+  replay.nodes = INSTANCE_NAMES.map((name) => new RoutingNode({
     clock,
     random,
     name,
-    names: NODES,
+    instanceNames: INSTANCE_NAMES,
     hub,
     store,
     engines,
     replica,
     items,
-    createId: () => `x${replay.ids++}`,
+    createId: () => `x${replay.nextId++}`,
   }))
   return replay
 }
 
-/** Every instance gets every engine's reports, late. */
-function keepReporting (replay: Replay, trace: Trace): void {
+/** Sends every engine's reports to every instance, with a delay. */
+function scheduleReports (replay: Replay, trace: Trace): void {
   for (let i = 0; i < trace.engines; i++) {
     const report = replay.engines.takeReport(i)
-    const passOn = (ageMs: number): void => replay.nodes.forEach((node) => node.takeReport(replay.engines, i, report, ageMs))
-    if (replay.clock.readTime() === 0) passOn(0)
-    else replay.clock.setTimer(REPORT_LAG_MS, () => passOn(REPORT_LAG_MS))
+    const sendReport = (ageMs: number): void => replay.nodes.forEach((node) => node.applyReport(replay.engines, i, report, ageMs))
+    if (replay.clock.readTime() === 0) sendReport(0)
+    else replay.clock.setTimer(REPORT_DELAY_MS, () => sendReport(REPORT_DELAY_MS))
   }
-  replay.clock.setTimer(REPORT_MS, () => keepReporting(replay, trace))
+  replay.clock.setTimer(REPORT_INTERVAL_MS, () => scheduleReports(replay, trace))
 }
 
-function bringAbout (replay: Replay, fault: TraceFault): void {
+function applyFault (replay: Replay, fault: TraceFault): void {
   if (fault.do === 'slowStore') replay.store.faults.delayMs = fault.ms
   else if (fault.do === 'loseStoreAnswers') replay.store.faults.loseAnswers += fault.count
   else if (fault.do === 'loseStoreWrites') replay.store.faults.loseWrites += fault.count
@@ -112,16 +112,16 @@
   const node = replay.nodes[request.instance ?? replay.random.readBelow(replay.nodes.length)] as RoutingNode
   try {
     const text = request.key === undefined ? await generate(replay, node, request, true) : await generateOnce(replay, node, request, request.key)
-    replay.answers.push({ request, ms: replay.clock.readTime() - started, text })
+    replay.answers.push({ request, durationMs: replay.clock.readTime() - started, text })
   } catch (thrown) {
-    replay.answers.push({ request, ms: replay.clock.readTime() - started, error: convertToError(thrown) })
+    replay.answers.push({ request, durationMs: replay.clock.readTime() - started, error: convertToError(thrown) })
   }
 }
 
 async function generate (replay: Replay, node: RoutingNode, request: TraceRequest, repeatable: boolean): Promise<string> {
   let text = ''
   const work = {
-    request: `r${replay.ids++}`,
+    request: `r${replay.nextId++}`,
     partner: request.partner,
     service: request.class,
     serviceClass: request.class,
@@ -139,8 +139,8 @@
 }
 
 async function generateOnce (replay: Replay, node: RoutingNode, request: TraceRequest, key: string): Promise<string> {
-  const once = {
-    request: `r${replay.ids++}`,
+  const onceRequest = {
+    request: `r${replay.nextId++}`,
     partner: request.partner,
     caller: 'c',
     key,
@@ -150,6 +150,6 @@
     body: createHash('sha256').update(request.name).digest(),
     deadline: replay.clock.readTime() + request.deadlineMs,
   }
-  const outcome = await runOnce(node, once, async () => ({ status: 200, contentType: 'text/plain', body: await generate(replay, node, request, false) }))
+  const outcome = await runOnce(node, onceRequest, async () => ({ status: 200, contentType: 'text/plain', body: await generate(replay, node, request, false) }))
   return outcome.body ?? ''
 }
