--- a/tools/bench/src/BenchmarkWorker.ts
+++ b/tools/bench/src/BenchmarkWorker.ts
@@ -1,28 +1,28 @@
 import { fork, type ChildProcess } from 'node:child_process'
 
-/** A process of a benchmark that answers requests of the main one. */
-export class Worker {
+/** A child process that runs tasks for the benchmark's main process. */
+export class BenchmarkWorker {
   private readonly child: ChildProcess
   private nextId = 1
-  private readonly waiting = new Map<number, (answer: unknown) => void>()
+  private readonly pending = new Map<number, (answer: unknown) => void>()
 
-  constructor (module: string) {
-    this.child = fork(module, [], { execArgv: [], stdio: ['ignore', 'inherit', 'inherit', 'ipc'] })
-    // A worker that dies ends the benchmark; waiting for its answers would take for ever.
+  constructor (modulePath: string) {
+    this.child = fork(modulePath, [], { execArgv: [], stdio: ['ignore', 'inherit', 'inherit', 'ipc'] })
+    // A crashed worker ends the benchmark: its pending requests would never settle.
     this.child.on('exit', (code) => {
       if (code !== null && code !== 0) process.exit(1)
     })
     this.child.on('message', (message) => {
       const { id, answer } = message as { id: number, answer: unknown }
-      this.waiting.get(id)?.(answer)
-      this.waiting.delete(id)
+      this.pending.get(id)?.(answer)
+      this.pending.delete(id)
     })
   }
 
-  ask<T> (task: string, args: unknown = {}): Promise<T> {
+  request<T> (task: string, args: unknown = {}): Promise<T> {
     const id = this.nextId++
     return new Promise((resolve) => {
-      this.waiting.set(id, resolve as (answer: unknown) => void)
+      this.pending.set(id, resolve as (answer: unknown) => void)
       this.child.send({ id, task, args })
     })
   }
@@ -32,8 +32,8 @@
   }
 }
 
-/** The other side: answers tasks by name. */
-export function answerTasks (tasks: Readonly<Record<string, (args: never) => unknown>>): void {
+/** Runs requested tasks in the child process and sends their results back. */
+export function handleTasks (tasks: Readonly<Record<string, (args: never) => unknown>>): void {
   process.on('message', (message) => {
     const { id, task, args } = message as { id: number, task: string, args: never }
     void Promise.resolve(tasks[task]?.(args)).then((answer) => process.send?.({ id, answer: answer ?? null }))
@@ -41,8 +41,8 @@
   process.on('disconnect', () => process.exit(0))
 }
 
-/** Microseconds of processor time that this process has used. */
-export function readCpu (): number {
+/** CPU time used by this process, in microseconds. */
+export function readCpuMicros (): number {
   const { user, system } = process.cpuUsage()
   return user + system
 }
--- a/tools/bench/src/CpuProfiler.ts
+++ b/tools/bench/src/CpuProfiler.ts
@@ -1,9 +1,9 @@
 import { Session, type Profiler } from 'node:inspector/promises'
 
-const MICROSECONDS = 1e6
+const MICROS_PER_SECOND = 1e6
 
-/** Takes a profile of this process's own JavaScript. */
-export class ProfileTaker {
+/** Profiles the JavaScript of this process. */
+export class CpuProfiler {
   private readonly session = new Session()
 
   async start (): Promise<void> {
@@ -12,24 +12,24 @@
     await this.session.post('Profiler.start')
   }
 
-  /** Ends the profile; gives functions by the share of time spent in themselves. */
+  /** Ends the profile and returns the functions with the largest self time, as shares of the busy time. */
   async stop (count = 25): Promise<{ place: string, share: number }[]> {
     const { profile } = await this.session.post('Profiler.stop')
     this.session.disconnect()
-    return listHottest(profile, count)
+    return listHottestFunctions(profile, count)
   }
 }
 
-function listHottest (profile: Profiler.Profile, count: number): { place: string, share: number }[] {
-  const places = new Map(profile.nodes.map((node) => [node.id, `${node.callFrame.functionName || '(anonymous)'} ${shorten(node.callFrame.url)}:${node.callFrame.lineNumber + 1}`]))
-  const times = new Map<string, number>()
+function listHottestFunctions (profile: Profiler.Profile, count: number): { place: string, share: number }[] {
+  const placeById = new Map(profile.nodes.map((node) => [node.id, `${node.callFrame.functionName || '(anonymous)'} ${shorten(node.callFrame.url)}:${node.callFrame.lineNumber + 1}`]))
+  const secondsByPlace = new Map<string, number>()
   profile.samples?.forEach((id, i) => {
-    const place = places.get(id) ?? '?'
-    times.set(place, (times.get(place) ?? 0) + (profile.timeDeltas?.[i] ?? 0) / MICROSECONDS)
+    const place = placeById.get(id) ?? '?'
+    secondsByPlace.set(place, (secondsByPlace.get(place) ?? 0) + (profile.timeDeltas?.[i] ?? 0) / MICROS_PER_SECOND)
   })
-  const busy = [...times].filter(([place]) => !place.startsWith('(idle)')).reduce((sum, [, time]) => sum + time, 0)
-  const sorted = [...times].filter(([place]) => !place.startsWith('(idle)')).sort((a, b) => b[1] - a[1])
-  return sorted.slice(0, count).map(([place, time]) => ({ place, share: time / busy }))
+  const busySeconds = [...secondsByPlace].filter(([place]) => !place.startsWith('(idle)')).reduce((sum, [, seconds]) => sum + seconds, 0)
+  const sorted = [...secondsByPlace].filter(([place]) => !place.startsWith('(idle)')).sort((a, b) => b[1] - a[1])
+  return sorted.slice(0, count).map(([place, seconds]) => ({ place, share: seconds / busySeconds }))
 }
 
 function shorten (url: string): string {
--- a/tools/bench/src/benchmarks.ts
+++ b/tools/bench/src/benchmarks.ts
@@ -1,8 +1,8 @@
-/** One benchmark; it prints its own report. */
-export type Bench = (args: readonly string[]) => Promise<void>
+/** Runs one benchmark and prints its report. */
+export type Benchmark = (args: readonly string[]) => Promise<void>
 
-/** Benchmarks by name, loaded only when asked for. */
-export const benches: Readonly<Record<string, () => Promise<Bench>>> = {
+/** Benchmarks by name, loaded on demand. */
+export const benchmarks: Readonly<Record<string, () => Promise<Benchmark>>> = {
   'entry': async () => (await import('./entry/runEntry.js')).runEntry,
   'picking': async () => (await import('./routing/runPicking.js')).runPicking,
   'overload': async () => (await import('./routing/runOverload.js')).runOverload,
--- a/tools/bench/src/buildWorker.ts
+++ b/tools/bench/src/buildWorker.ts
@@ -1,13 +1,13 @@
 import path from 'node:path'
 import { writeBundle } from '../../scripts/bundle.mjs'
 
-const BUNDLES = path.join(import.meta.dirname, '../../../dist/bench')
-// The only module that asks for its place is the one that reads the examples.
-const EXAMPLES_FROM = path.join(import.meta.dirname, '../../../program/demo/src')
+const BUNDLE_DIR = path.join(import.meta.dirname, '../../../dist/bench')
+// Replaces `import.meta.dirname` in the bundle; only the module that reads the examples uses it.
+const EXAMPLES_DIR = path.join(import.meta.dirname, '../../../program/demo/src')
 
-/** Bundles a worker's module like the binary, so that what is measured is what ships. */
-export async function buildWorker (module: string): Promise<string> {
-  const outfile = path.join(BUNDLES, `${path.basename(path.dirname(module))}-${path.basename(module, '.ts')}.cjs`)
-  await writeBundle({ entryPoint: module, outfile, define: { 'import.meta.dirname': JSON.stringify(EXAMPLES_FROM) } })
+/** Bundles a worker module the way the released binary is bundled and returns the path of the bundle. */
+export async function buildWorker (modulePath: string): Promise<string> {
+  const outfile = path.join(BUNDLE_DIR, `${path.basename(path.dirname(modulePath))}-${path.basename(modulePath, '.ts')}.cjs`)
+  await writeBundle({ entryPoint: modulePath, outfile, define: { 'import.meta.dirname': JSON.stringify(EXAMPLES_DIR) } })
   return outfile
 }
--- a/tools/bench/src/capacity/renderPlot.ts
+++ b/tools/bench/src/capacity/renderPlot.ts
@@ -4,7 +4,7 @@
 const WIDTH = 420
 const HEIGHT = 260
 
-/** A plot of one slope: the points measured and the line through them. */
+/** Renders the points and the fitted line of one slope as SVG. */
 export function renderPlot (title: string, points: readonly { size: number, value: number }[], fit: Fit): string {
   const chart = echarts.init(null, null, { renderer: 'svg', ssr: true, width: WIDTH, height: HEIGHT })
   const first = points[0]?.size ?? 0
--- a/tools/bench/src/capacity/runCapacity.ts
+++ b/tools/bench/src/capacity/runCapacity.ts
@@ -8,10 +8,10 @@
 import { renderPlot } from './renderPlot.js'
 import { slopeTasks, type SlopeTask } from './slopes.js'
 
-const OUT = path.join(import.meta.dirname, '../../../../docs/capacity')
-const FLEET_SIZES = [8, 12, 16, 24]
+const OUTPUT_DIR = path.join(import.meta.dirname, '../../../../docs/capacity')
+const INSTANCE_COUNTS = [8, 12, 16, 24]
 
-/** One slope as it stands in docs/capacity/measured.json. */
+/** One slope, as stored in docs/capacity/measured.json. */
 export interface MeasuredSlope {
   name: string
   per: string
@@ -20,27 +20,27 @@
   fit: Fit
 }
 
-/** Measures every slope at four sizes or more, and writes the file and the plots that docs/CAPACITY.md is made from. */
+/** Measures every slope and writes the data file and plots used by docs/CAPACITY.md. */
 export async function runCapacity (args: readonly string[] = []): Promise<void> {
   if (!args.includes('--here')) {
-    runWithCollector()
+    runWithExposedGc()
     return
   }
   const slopes: MeasuredSlope[] = []
   for (const task of slopeTasks) slopes.push(await measureSlope(task))
   slopes.push(...await measureTraffic())
   slopes.push(...await measureFleet())
-  fs.mkdirSync(OUT, { recursive: true })
-  fs.writeFileSync(path.join(OUT, 'measured.json'), `${JSON.stringify({ at: new Date().toISOString().slice(0, 10), slopes }, null, 1)}\n`)
-  for (const slope of slopes) fs.writeFileSync(path.join(OUT, `${slope.name}.svg`), renderPlot(`${slope.name}: ${slope.unit} by ${slope.per}`, slope.points, slope.fit))
-  printTable(slopes.map(describe))
+  fs.mkdirSync(OUTPUT_DIR, { recursive: true })
+  fs.writeFileSync(path.join(OUTPUT_DIR, 'measured.json'), `${JSON.stringify({ at: new Date().toISOString().slice(0, 10), slopes }, null, 1)}\n`)
+  for (const slope of slopes) fs.writeFileSync(path.join(OUTPUT_DIR, `${slope.name}.svg`), renderPlot(`${slope.name}: ${slope.unit} by ${slope.per}`, slope.points, slope.fit))
+  printTable(slopes.map(buildRow))
   for (const slope of slopes) console.log(JSON.stringify(slope))
 }
 
-/** Heap sizes need a garbage collector that can be asked to run. */
-function runWithCollector (): void {
-  const main = path.join(import.meta.dirname, '../main.ts')
-  spawnSync(process.execPath, ['--expose-gc', '--import', 'tsx', main, 'capacity', '--here'], { stdio: 'inherit' })
+/** Runs the benchmark in a child process with `--expose-gc`, which the heap measurements need. */
+function runWithExposedGc (): void {
+  const mainModule = path.join(import.meta.dirname, '../main.ts')
+  spawnSync(process.execPath, ['--expose-gc', '--import', 'tsx', mainModule, 'capacity', '--here'], { stdio: 'inherit' })
 }
 
 async function measureSlope (task: SlopeTask): Promise<MeasuredSlope> {
@@ -51,18 +51,18 @@
   return { name, per, unit, points, fit: roundFit(fitLine(points)) }
 }
 
-/** Bytes and processor time of control by links and heartbeats, as the number of instances grows. */
+/** Measures control traffic, CPU time and propagation of changes by number of instances. */
 async function measureFleet (): Promise<MeasuredSlope[]> {
   const results: ConvergenceResult[] = []
-  for (const size of FLEET_SIZES) results.push(await measureConvergence(size))
-  const build = (name: string, unit: string, read: (it: typeof results[number]) => number): MeasuredSlope => {
-    const points = results.map((it) => ({ size: it.instances, value: roundTo(read(it), 4) }))
+  for (const size of INSTANCE_COUNTS) results.push(await measureConvergence(size))
+  const buildSlope = (name: string, unit: string, readValue: (it: typeof results[number]) => number): MeasuredSlope => {
+    const points = results.map((it) => ({ size: it.instances, value: roundTo(readValue(it), 4) }))
     return { name, per: 'instance of the fleet', unit, points, fit: roundFit(fitLine(points)) }
   }
   return [
-    build('peerBytes', 'bytes/s', (it) => it.bytesPerInstance),
-    build('peerCpu', '% of a core', (it) => it.cpuShare * 100),
-    build('changeMs', 'ms until in force (worst)', (it) => Math.max(...it.latencies)),
+    buildSlope('peerBytes', 'bytes/s', (it) => it.bytesPerInstance),
+    buildSlope('peerCpu', '% of a core', (it) => it.cpuShare * 100),
+    buildSlope('changeMs', 'ms until in force (worst)', (it) => Math.max(...it.latencies)),
   ]
 }
 
@@ -70,6 +70,6 @@
   return { slope: Number(fit.slope.toPrecision(4)), intercept: Number(fit.intercept.toPrecision(4)), error: roundTo(fit.error, 3) }
 }
 
-function describe (slope: MeasuredSlope): Row {
+function buildRow (slope: MeasuredSlope): Row {
   return { 'slope': slope.name, 'per': slope.per, 'unit': slope.unit, 'each': slope.fit.slope, 'fixed': slope.fit.intercept, 'error of fit': slope.fit.error }
 }
--- a/tools/bench/src/capacity/slopes.ts
+++ b/tools/bench/src/capacity/slopes.ts
@@ -11,30 +11,30 @@
 import { pack } from 'msgpackr'
 import { measurePlan } from '../placement/runPlanScale.js'
 
-/** How a quantity grows: measured at four sizes or more. */
+/** Measures a quantity at several sizes, to fit a line to it. */
 export interface SlopeTask {
   name: string
-  /** What is counted along the slope, and what it is measured in. */
+  /** What the sizes count. */
   per: string
   unit: string
   sizes: readonly number[]
   measure: (size: number) => Promise<number> | number
 }
 
-const ITEMS_EACH = 8
-const BLOCKS_EACH = 40
+const ITEMS_PER_RUNNER = 8
+const BLOCKS_PER_RUNNER = 40
 const REPEATS = 20
 
-/** Every slope that needs nothing but this process. */
+/** Slopes that are measured within this process. */
 export const slopeTasks: readonly SlopeTask[] = [
   { name: 'runnerMemory', per: 'runner', unit: 'bytes', sizes: [100, 200, 400, 800], measure: (size) => measureHeap(() => buildTable(size)) },
   { name: 'reportCpu', per: 'report', unit: 'us', sizes: [2_000, 4_000, 8_000, 16_000], measure: measureReports },
   { name: 'reportBytes', per: 'resident item', unit: 'bytes', sizes: [0, 4, 8, 16], measure: (size) => pack(packUpdate(buildUpdate(1, 1, size))).length },
   { name: 'cacheEventBytes', per: 'cache block', unit: 'bytes', sizes: [0, 10, 20, 40], measure: (size) => pack(packUpdate(buildUpdate(1, 1, 0, size))).length },
   { name: 'objectMemory', per: 'object', unit: 'bytes', sizes: [1_000, 2_000, 4_000, 8_000], measure: (size) => measureHeap(() => buildReplica(size)) },
-  { name: 'modelMemory', per: 'model with a version', unit: 'bytes', sizes: [400, 800, 1_600, 3_200], measure: (size) => measureHeap(() => buildKinds(size, buildModelPair)) },
-  { name: 'adapterMemory', per: 'adapter', unit: 'bytes', sizes: [400, 800, 1_600, 3_200], measure: (size) => measureHeap(() => buildKinds(size, buildAdapterOnly)) },
-  { name: 'serviceMemory', per: 'service', unit: 'bytes', sizes: [400, 800, 1_600, 3_200], measure: (size) => measureHeap(() => buildKinds(size, buildServiceOnly)) },
+  { name: 'modelMemory', per: 'model with a version', unit: 'bytes', sizes: [400, 800, 1_600, 3_200], measure: (size) => measureHeap(() => buildIndexedReplica(size, buildModelWithVersion)) },
+  { name: 'adapterMemory', per: 'adapter', unit: 'bytes', sizes: [400, 800, 1_600, 3_200], measure: (size) => measureHeap(() => buildIndexedReplica(size, buildAdapterObjects)) },
+  { name: 'serviceMemory', per: 'service', unit: 'bytes', sizes: [400, 800, 1_600, 3_200], measure: (size) => measureHeap(() => buildIndexedReplica(size, buildServiceObjects)) },
   { name: 'changeCpu', per: 'change', unit: 'us', sizes: [1_000, 2_000, 4_000, 8_000], measure: measureChanges },
   { name: 'changeBytes', per: 'change', unit: 'bytes', sizes: [1, 2, 4, 8], measure: (size) => pack(Array.from({ length: size }, (_, i) => buildEntry(i, 1))).length },
   { name: 'listCpu', per: 'listed server', unit: 'us', sizes: [1_000, 3_000, 6_000, 12_000], measure: measureList },
@@ -45,23 +45,23 @@
 ]
 
 async function measureHeap (build: () => unknown | Promise<unknown>): Promise<number> {
-  collect()
+  collectGarbage()
   const before = process.memoryUsage().heapUsed
-  const held = await build()
-  collect()
+  const retained = await build()
+  collectGarbage()
   const after = process.memoryUsage().heapUsed
-  // Keeps the structure alive until it was measured.
-  return held === undefined ? 0 : after - before
+  // Reading `retained` here keeps it from being garbage-collected before the measurement.
+  return retained === undefined ? 0 : after - before
 }
 
-function collect (): void {
+function collectGarbage (): void {
   for (let i = 0; i < 3; i++) globalThis.gc?.()
 }
 
 function buildTable (count: number): RunnerTable {
   const table = new RunnerTable()
   table.applyServers(listServers(count), 0)
-  for (let i = 0; i < count; i++) table.applyUpdate(buildUpdate(i, 1, ITEMS_EACH, BLOCKS_EACH), 0)
+  for (let i = 0; i < count; i++) table.applyUpdate(buildUpdate(i, 1, ITEMS_PER_RUNNER, BLOCKS_PER_RUNNER), 0)
   return table
 }
 
@@ -113,8 +113,8 @@
   return { replica, index }
 }
 
-/** A replica of one kind of objects. */
-function buildKinds (count: number, build: (i: number) => ConfigObject[]): unknown {
+/** Builds an indexed replica of `count` generated configurations. */
+function buildIndexedReplica (count: number, build: (i: number) => ConfigObject[]): unknown {
   const replica = new ConfigReplica()
   const index = new ConfigIndex(replica)
   let version = 0
@@ -124,16 +124,16 @@
   return { replica, index }
 }
 
-function buildModelPair (i: number): ConfigObject[] {
+function buildModelWithVersion (i: number): ConfigObject[] {
   const spec = { model: `model-${i}`, weights: `partner/model-${i}/v2`, bytes: 9e9, active: true }
   return [buildModel('partner', `model-${i}`), { kind: Kinds.MODEL_VERSION, partner: 'partner', name: `model-${i}-v2`, spec }]
 }
 
-function buildAdapterOnly (i: number): ConfigObject[] {
+function buildAdapterObjects (i: number): ConfigObject[] {
   return [buildAdapter('partner', `adapter-${i}`, { model: `model-${i % 100}` })]
 }
 
-function buildServiceOnly (i: number): ConfigObject[] {
+function buildServiceObjects (i: number): ConfigObject[] {
   return [buildService('partner', `service-${i}`, { callers: { role: ['firm', 'notary'] }, dataHalls: ['h1', 'h2'], deadlineMs: 5_000 })]
 }
 
@@ -149,10 +149,10 @@
   const clock = new ManualClock()
   const self = { instance: 'a', incarnation: 1, address: '', peerAddress: '', region: 'r0', dataHall: 'h0', leaving: false }
   const view = new MembershipView({ clock, self })
-  const list = listServers(count)
-  view.applyList(list)
+  const listedInstances = listServers(count)
+  view.applyList(listedInstances)
   return measureMicros(() => {
-    for (let i = 0; i < REPEATS; i++) view.applyList(list)
+    for (let i = 0; i < REPEATS; i++) view.applyList(listedInstances)
   }) / REPEATS
 }
 
@@ -179,15 +179,15 @@
 async function fillClaims (count: number): Promise<ClaimShard> {
   const clock = new SystemClock()
   const store = new MemoryObjectStore({ clock })
-  let ids = 0
-  const shard = new ClaimShard({ clock, store, shard: 0, keepMs: 3_600_000, commitsPerSecond: 10_000, createOperation: () => String(ids++) })
+  let nextId = 0
+  const shard = new ClaimShard({ clock, store, shard: 0, keepMs: 3_600_000, commitsPerSecond: 10_000, createOperation: () => String(nextId++) })
   const deadline = performance.now() + 60_000
   await Promise.all(Array.from({ length: count }, (_, i) => shard.claim({ key: `a-key-of-43-characters-as-base64url-has-${i}`, hash: 'h'.repeat(43), request: `r${i}`, instance: 'entry-1' }, deadline)))
   return shard
 }
 
 async function measureClaimMemory (count: number): Promise<number> {
-  // The store's own copy lives here as well; only the index is the instance's.
+  // Returns only the index: the emulated store is garbage-collected and not counted.
   return measureHeap(async () => {
     const shard = await fillClaims(count)
     const { index } = (shard as unknown as { log: { index: unknown } }).log
--- a/tools/bench/src/entry/sendLoad.ts
+++ b/tools/bench/src/entry/sendLoad.ts
@@ -1,18 +1,18 @@
 import http from 'node:http'
 
-/** A bounded load of one kind of request. */
+/** A load of one kind of request for a fixed duration. */
 export interface LoadOptions {
   address: string
   method: string
   path: string
   headers: Record<string, string>
   body?: string
-  /** Closed loop: so many at a time. */
+  /** Closed loop: number of concurrent requests; used unless `perSecond` is set. */
   concurrency?: number
-  /** Open loop: so many a second. */
+  /** Open loop: requests per second, sent without waiting for responses. */
   perSecond?: number
   durationMs: number
-  /** Text that a whole answer contains. */
+  /** Text that a complete response contains. */
   expect: string
 }
 
@@ -24,36 +24,36 @@
   seconds: number
 }
 
-/** Sends the load and measures each answer. */
+/** Sends the load and measures the latency of each response, in milliseconds. */
 export async function sendLoad (opts: LoadOptions): Promise<LoadResult> {
   const agent = new http.Agent({ keepAlive: true, maxSockets: 1_000, scheduling: 'lifo' })
   const result: LoadResult = { requests: 0, failed: 0, latencies: [], firstBytes: [], seconds: 0 }
   const started = performance.now()
-  const end = started + opts.durationMs
-  if (opts.perSecond === undefined) await runClosed(opts, agent, result, end)
-  else await runOpen(opts, opts.perSecond, agent, result, end)
+  const endAt = started + opts.durationMs
+  if (opts.perSecond === undefined) await runClosedLoop(opts, agent, result, endAt)
+  else await runOpenLoop(opts, opts.perSecond, agent, result, endAt)
   result.seconds = (performance.now() - started) / 1000
   agent.destroy()
   return result
 }
 
-async function runClosed (opts: LoadOptions, agent: http.Agent, result: LoadResult, end: number): Promise<void> {
-  const run = async (): Promise<void> => {
-    while (performance.now() < end) await sendOne(opts, agent, result)
+async function runClosedLoop (opts: LoadOptions, agent: http.Agent, result: LoadResult, endAt: number): Promise<void> {
+  const sendUntilEnd = async (): Promise<void> => {
+    while (performance.now() < endAt) await sendOne(opts, agent, result)
   }
-  await Promise.all(Array.from({ length: opts.concurrency ?? 1 }, run))
+  await Promise.all(Array.from({ length: opts.concurrency ?? 1 }, sendUntilEnd))
 }
 
-async function runOpen (opts: LoadOptions, perSecond: number, agent: http.Agent, result: LoadResult, end: number): Promise<void> {
+async function runOpenLoop (opts: LoadOptions, perSecond: number, agent: http.Agent, result: LoadResult, endAt: number): Promise<void> {
   const pending: Promise<void>[] = []
-  const gapMs = 1000 / perSecond
-  let next = performance.now()
-  while (performance.now() < end) {
-    while (next <= performance.now()) {
+  const intervalMs = 1000 / perSecond
+  let nextAt = performance.now()
+  while (performance.now() < endAt) {
+    while (nextAt <= performance.now()) {
       pending.push(sendOne(opts, agent, result))
-      next += gapMs
+      nextAt += intervalMs
     }
-    await new Promise((resolve) => setTimeout(resolve, Math.max(0, next - performance.now())))
+    await new Promise((resolve) => setTimeout(resolve, Math.max(0, nextAt - performance.now())))
   }
   await Promise.all(pending)
 }
@@ -62,9 +62,9 @@
   const started = performance.now()
   const [host, port] = opts.address.split(':') as [string, string]
   return new Promise((resolve) => {
-    const finish = (whole: boolean): void => {
+    const finish = (isComplete: boolean): void => {
       result.requests++
-      if (whole) result.latencies.push(performance.now() - started)
+      if (isComplete) result.latencies.push(performance.now() - started)
       else result.failed++
       resolve()
     }
--- a/tools/bench/src/entry/worker.ts
+++ b/tools/bench/src/entry/worker.ts
@@ -15,24 +15,24 @@
 import { SystemClock } from '@pulleystack/core.clock'
 import { readExampleText } from '@pulleystack/program.demo'
 import { connectPlatform, startInstance } from '@pulleystack/program.instance'
-import { ProfileTaker } from '../CpuProfiler.js'
-import { answerTasks, readCpu } from '../BenchmarkWorker.js'
+import { CpuProfiler } from '../CpuProfiler.js'
+import { handleTasks, readCpuMicros } from '../BenchmarkWorker.js'
 import { sendLoad, type LoadOptions } from './sendLoad.js'
 
 const GIB = 1024 ** 3
 
-/** A platform, one plain service, and one engine that is quick and has room for all. */
+/** Starts emulated stores, one plain service and one fast engine with ample capacity. */
 async function startBackends () {
   const clock = new SystemClock()
   const store = new MemoryObjectStore({ clock })
-  const list = new MemoryInstanceList({ clock })
-  const gate = new WeightGate({ clock, limits: { loadsPerSecond: 100, loadsAtOnce: 8, bytesPerSecond: 1000 * GIB } })
-  const [objectApi, instanceList, weightStore] = await Promise.all([serveObjectStore(store), serveInstanceList(list), serveWeightStore(gate)])
+  const instances = new MemoryInstanceList({ clock })
+  const weightGate = new WeightGate({ clock, limits: { loadsPerSecond: 100, loadsAtOnce: 8, bytesPerSecond: 1000 * GIB } })
+  const [objectApi, instanceList, weightStore] = await Promise.all([serveObjectStore(store), serveInstanceList(instances), serveWeightStore(weightGate)])
   const service = await FakeService.start({ clock })
   const engine = await FakeEngine.start({ clock, memoryBytes: 40 * GIB, slots: 2_000, tokenMs: 10, batchMsPerRequest: 0, prefillMsPerBlock: 0 })
-  const place = { region: 'r', dataHall: 'h', leaving: false, labels: {} }
-  list.setInstance({ id: 'service', role: InstanceRoles.PLAIN, address: service.address, services: ['bench/lookups'], ...place })
-  list.setInstance({ id: 'engine', role: InstanceRoles.ENGINE, address: engine.address, memoryBytes: 40 * GIB, ...place })
+  const location = { region: 'r', dataHall: 'h', leaving: false, labels: {} }
+  instances.setInstance({ id: 'service', role: InstanceRoles.PLAIN, address: service.address, services: ['bench/lookups'], ...location })
+  instances.setInstance({ id: 'engine', role: InstanceRoles.ENGINE, address: engine.address, memoryBytes: 40 * GIB, ...location })
   const platform = { objectApi: objectApi.address, instanceList: instanceList.address, weightStore: weightStore.address }
   return { ...platform, service: service.address, engine: engine.address }
 }
@@ -55,10 +55,10 @@
   return { address: instance.address }
 }
 
-/** A bare pass-through with Node's http on both sides: the least that any entry process must do. */
-async function startPassThrough (target: { address: string }) {
+/** Starts a minimal reverse proxy on Node's `http`, the baseline for the entry instance. */
+async function startPassThrough (backend: { address: string }) {
   const agent = new http.Agent({ keepAlive: true, maxSockets: 2_000, scheduling: 'lifo' })
-  const [host, port] = target.address.split(':') as [string, string]
+  const [host, port] = backend.address.split(':') as [string, string]
   const server = http.createServer((request, response) => {
     const outgoing = http.request({ host, port: Number(port), method: request.method, path: request.url, headers: request.headers, agent }, (answer) => {
       response.writeHead(answer.statusCode ?? 502, answer.headers)
@@ -71,15 +71,15 @@
   return { address: `127.0.0.1:${(server.address() as AddressInfo).port}` }
 }
 
-const profile = new ProfileTaker()
+const profiler = new CpuProfiler()
 
-answerTasks({
-  startProfile: () => profile.start(),
-  stopProfile: () => profile.stop(),
+handleTasks({
+  startProfile: () => profiler.start(),
+  stopProfile: () => profiler.stop(),
   startBackends,
   startEntry,
   startPassThrough,
   sendLoad: (opts: LoadOptions) => sendLoad(opts),
-  readCpu: () => readCpu(),
+  readCpu: () => readCpuMicros(),
   readMemory: () => process.memoryUsage().rss,
 })
--- a/tools/bench/src/fleet/ControlPlaneInstance.ts
+++ b/tools/bench/src/fleet/ControlPlaneInstance.ts
@@ -8,12 +8,12 @@
 import type { MemoryInstanceList } from '@pulleystack/emulator.stand-ins'
 import { EventRing } from '@pulleystack/timeline.events'
 
-/** The control half of an instance, on real links: membership and configuration. */
-export class MiniInstance {
+/** Membership and configuration sync of an instance, connected to its peers by WebSocket. */
+export class ControlPlaneInstance {
   readonly replica = new ConfigReplica()
   readonly view: MembershipView
   readonly network: WebSocketNetwork
-  private readonly ended = new AbortController()
+  private readonly stopController = new AbortController()
 
   private constructor (private readonly opts: { clock: Clock, name: string, store: ObjectStore, list: MemoryInstanceList, region: string, hall: string }) {
     const { clock, name, region, hall } = opts
@@ -32,8 +32,10 @@
     })
   }
 
-  static async start (opts: { clock: Clock, name: string, store: ObjectStore, list: MemoryInstanceList, region: string, hall: string }): Promise<MiniInstance> {
-    const instance = new MiniInstance(opts)
+  static async start (
+    opts: { clock: Clock, name: string, store: ObjectStore, list: MemoryInstanceList, region: string, hall: string },
+  ): Promise<ControlPlaneInstance> {
+    const instance = new ControlPlaneInstance(opts)
     const peerAddress = `127.0.0.1:${await instance.network.start()}`
     Object.assign(instance.view.self, { peerAddress })
     opts.list.setInstance({
@@ -49,16 +51,16 @@
     return instance
   }
 
-  async follow (): Promise<void> {
+  async startSync (): Promise<void> {
     const { clock, store, list, name, hall } = this.opts
     const ring = new EventRing({ clock, instance: name, dataHall: hall, capacity: 100 })
-    const { signal } = this.ended
+    const { signal } = this.stopController
     await startMembership({ clock, view: this.view, network: this.network, list, ring, listPollMs: 1_000 }, signal)
     startConfigSync({ clock, random: new RandomSource(), replica: this.replica, store, network: this.network, view: this.view, digestMs: 2_000 }, signal)
   }
 
   async stop (): Promise<void> {
-    this.ended.abort()
+    this.stopController.abort()
     await this.network.stop()
   }
 }
--- a/tools/bench/src/fleet/runConvergence.ts
+++ b/tools/bench/src/fleet/runConvergence.ts
@@ -2,16 +2,16 @@
 import { SystemClock } from '@pulleystack/core.clock'
 import { MemoryInstanceList, MemoryObjectStore } from '@pulleystack/emulator.stand-ins'
 import { buildCaller } from '@pulleystack/tools.testing'
-import { readCpu } from '../BenchmarkWorker.js'
+import { readCpuMicros } from '../BenchmarkWorker.js'
 import { computeQuantile, printReport, roundTo, type Row } from '../report.js'
-import { MiniInstance } from './ControlPlaneInstance.js'
+import { ControlPlaneInstance } from './ControlPlaneInstance.js'
 
-const SIZES = [4, 8, 16, 32, 64]
-const OBJECTS = 500
-const CHANGES = 30
-const CHANGE_GAP_MS = 150
-const QUIET_MS = 4_000
-const STORE_MS = 3
+const INSTANCE_COUNTS = [4, 8, 16, 32, 64]
+const OBJECT_COUNT = 500
+const CHANGE_COUNT = 30
+const CHANGE_INTERVAL_MS = 150
+const IDLE_MS = 4_000
+const STORE_DELAY_MS = 3
 const SETTLE_MS = 4_000
 
 export interface ConvergenceResult {
@@ -22,14 +22,14 @@
   cpuShare: number
 }
 
-/** Instances on real links in one process: how long until a change is in force everywhere, and what control costs. */
+/** Measures how long a configuration change takes to reach all instances, and the cost of control traffic. */
 export async function runConvergence (): Promise<void> {
   const rows: Row[] = []
-  for (const instances of SIZES) rows.push(describe(await measureConvergence(instances)))
-  printReport('convergence', rows, { objects: OBJECTS, changes: CHANGES, note: 'store calls and control bytes while nothing changes; cpu of one core' })
+  for (const instances of INSTANCE_COUNTS) rows.push(buildRow(await measureConvergence(instances)))
+  printReport('convergence', rows, { objects: OBJECT_COUNT, changes: CHANGE_COUNT, note: 'store calls, control bytes and CPU while the configuration does not change' })
 }
 
-function describe (result: ConvergenceResult): Row {
+function buildRow (result: ConvergenceResult): Row {
   return {
     'instances': result.instances,
     'p50 ms': roundTo(computeQuantile(result.latencies, 0.5), 1),
@@ -44,50 +44,50 @@
 export async function measureConvergence (count: number): Promise<ConvergenceResult> {
   const clock = new SystemClock()
   const store = new MemoryObjectStore({ clock })
-  store.faults.delayMs = STORE_MS
+  store.faults.delayMs = STORE_DELAY_MS
   const list = new MemoryInstanceList({ clock, lagMs: 500 })
-  for (let i = 0; i < OBJECTS; i++) await store.writeObject(buildObjectKey(Kinds.CALLER, 'p', `c${i}`), buildCaller('p', `c${i}`, `key-${i}`), 0)
-  const instances: MiniInstance[] = []
-  for (let i = 0; i < count; i++) instances.push(await MiniInstance.start({ clock, name: `n${i}`, store, list, region: `r${i % 2}`, hall: `h${i % 4}` }))
+  for (let i = 0; i < OBJECT_COUNT; i++) await store.writeObject(buildObjectKey(Kinds.CALLER, 'p', `c${i}`), buildCaller('p', `c${i}`, `key-${i}`), 0)
+  const instances: ControlPlaneInstance[] = []
+  for (let i = 0; i < count; i++) instances.push(await ControlPlaneInstance.start({ clock, name: `n${i}`, store, list, region: `r${i % 2}`, hall: `h${i % 4}` }))
   await clock.wait(600)
-  await Promise.all(instances.map((instance) => instance.follow()))
+  await Promise.all(instances.map((instance) => instance.startSync()))
   await waitForAll(instances, (instance) => instance.replica.isComplete)
   await clock.wait(SETTLE_MS)
-  const quiet = await measureQuiet(instances, store)
+  const idle = await measureIdle(instances, store)
   const latencies: number[] = []
-  for (let i = 0; i < CHANGES; i++) {
+  for (let i = 0; i < CHANGE_COUNT; i++) {
     latencies.push(await measureChange(instances, store, i))
-    await clock.wait(CHANGE_GAP_MS)
+    await clock.wait(CHANGE_INTERVAL_MS)
   }
   await Promise.all(instances.map((instance) => instance.stop()))
-  return { instances: count, latencies, ...quiet }
+  return { instances: count, latencies, ...idle }
 }
 
-async function measureQuiet (instances: readonly MiniInstance[], store: MemoryObjectStore) {
+async function measureIdle (instances: readonly ControlPlaneInstance[], store: MemoryObjectStore) {
   const countBytes = (): number => instances.reduce((sum, instance) => sum + instance.network.sentBytes, 0)
-  const before = { cpu: readCpu(), bytes: countBytes(), calls: store.counts.reads + store.counts.watches, at: performance.now() }
-  await new Promise((resolve) => setTimeout(resolve, QUIET_MS))
+  const before = { cpu: readCpuMicros(), bytes: countBytes(), calls: store.counts.reads + store.counts.watches, at: performance.now() }
+  await new Promise((resolve) => setTimeout(resolve, IDLE_MS))
   const seconds = (performance.now() - before.at) / 1000
   return {
     storeCallsPerSecond: (store.counts.reads + store.counts.watches - before.calls) / seconds,
     bytesPerInstance: (countBytes() - before.bytes) / seconds / instances.length,
-    cpuShare: (readCpu() - before.cpu) / 1e6 / seconds / instances.length,
+    cpuShare: (readCpuMicros() - before.cpu) / 1e6 / seconds / instances.length,
   }
 }
 
-async function measureChange (instances: readonly MiniInstance[], store: MemoryObjectStore, i: number): Promise<number> {
+async function measureChange (instances: readonly ControlPlaneInstance[], store: MemoryObjectStore, i: number): Promise<number> {
   const key = buildObjectKey(Kinds.CALLER, 'p', `c${i}`)
-  const standing = (await store.readObject(key))._unsafeUnwrap()
+  const current = (await store.readObject(key))._unsafeUnwrap()
   const started = performance.now()
-  const version = (await store.writeObject(key, buildCaller('p', `c${i}`, `key-${i}`, { change: String(i) }), standing?.version ?? 0))._unsafeUnwrap()
+  const version = (await store.writeObject(key, buildCaller('p', `c${i}`, `key-${i}`, { change: String(i) }), current?.version ?? 0))._unsafeUnwrap()
   await waitForAll(instances, (instance) => instance.replica.readVersion(key) >= version)
   return performance.now() - started
 }
 
-async function waitForAll (instances: readonly MiniInstance[], check: (instance: MiniInstance) => boolean): Promise<void> {
+async function waitForAll (instances: readonly ControlPlaneInstance[], check: (instance: ControlPlaneInstance) => boolean): Promise<void> {
   const deadline = performance.now() + 30_000
   while (!instances.every(check)) {
-    if (performance.now() > deadline) throw new Error('the instances did not converge')
+    if (performance.now() > deadline) throw new Error('The instances did not converge')
     await new Promise((resolve) => setTimeout(resolve, 1))
   }
 }
--- a/tools/bench/src/index.ts
+++ b/tools/bench/src/index.ts
@@ -1,1 +1,1 @@
-export { benches } from './benchmarks.js'
+export { benchmarks } from './benchmarks.js'
--- a/tools/bench/src/main.ts
+++ b/tools/bench/src/main.ts
@@ -1,11 +1,11 @@
-import { benches } from './benchmarks.js'
+import { benchmarks } from './benchmarks.js'
 
 const [name = '', ...args] = process.argv.slice(2)
-const load = benches[name]
-if (load) {
-  const run = await load()
-  await run(args)
+const loadBenchmark = benchmarks[name]
+if (loadBenchmark) {
+  const runBenchmark = await loadBenchmark()
+  await runBenchmark(args)
   process.exit(0)
 }
-console.error(`no benchmark "${name}"; there are: ${Object.keys(benches).join(', ')}`)
+console.error(`no benchmark "${name}"; there are: ${Object.keys(benchmarks).join(', ')}`)
 process.exit(2)
--- a/tools/bench/src/placement/demandTraces.ts
+++ b/tools/bench/src/placement/demandTraces.ts
@@ -2,7 +2,7 @@
 import type { PlanGroup, PlanServer } from '@pulleystack/placement.planner'
 import type { DemandTrace } from './simulatePlacement.js'
 
-const STEPS = 240
+const STEP_COUNT = 240
 const GIB = 1
 const NOISE = 0.3
 
@@ -11,7 +11,7 @@
   servers: PlanServer[]
 }
 
-/** Today's pool: 33 accelerators in seven data halls, 75 models of both partners. */
+/** Builds a pool of 33 accelerators in seven data halls and 75 models of two partners. */
 export function buildPool (): Pool {
   const random = new RandomSource(5)
   const servers = Array.from({ length: 33 }, (_, i): PlanServer => ({ id: `s${i}`, dataHall: `h${i % 7}`, capacity: 80 * GIB, reserved: 0 }))
@@ -23,25 +23,25 @@
   return { groups, servers }
 }
 
-/** Recorded shapes of demand: a step is a quarter of a minute. */
+/** Builds demand traces with steps of 15 seconds. */
 export function buildTraces (pool: Pool): DemandTrace[] {
-  const halls = pool.servers.filter((server) => server.dataHall === 'h0').map((server) => server.id)
+  const hallServers = pool.servers.filter((server) => server.dataHall === 'h0').map((server) => server.id)
   return [
-    { name: 'calm day', steps: buildSteps(pool, () => 1), losses: [] },
-    { name: 'storm', steps: buildSteps(pool, (item, step) => item.startsWith('shorewatch/m4') && step > 60 && step < 160 ? 10 : 1), losses: [] },
-    { name: 'filing deadline', steps: buildSteps(pool, (item, step) => item.startsWith('peritos/m1') ? 1 + 9 * Math.max(0, 1 - Math.abs(step - 150) / 60) : 1), losses: [] },
-    { name: 'accelerator lost', steps: buildSteps(pool, () => 1.3), losses: [{ step: 80, servers: ['s3'] }] },
-    { name: 'data hall lost', steps: buildSteps(pool, () => 1.2), losses: [{ step: 80, servers: halls }] },
+    { name: 'calm day', steps: buildSteps(pool, () => 1), failures: [] },
+    { name: 'storm', steps: buildSteps(pool, (item, step) => item.startsWith('shorewatch/m4') && step > 60 && step < 160 ? 10 : 1), failures: [] },
+    { name: 'filing deadline', steps: buildSteps(pool, (item, step) => item.startsWith('peritos/m1') ? 1 + 9 * Math.max(0, 1 - Math.abs(step - 150) / 60) : 1), failures: [] },
+    { name: 'accelerator lost', steps: buildSteps(pool, () => 1.3), failures: [{ step: 80, servers: ['s3'] }] },
+    { name: 'data hall lost', steps: buildSteps(pool, () => 1.2), failures: [{ step: 80, servers: hallServers }] },
   ]
 }
 
-function buildSteps (pool: Pool, shape: (item: string, step: number) => number): ReadonlyMap<string, number>[] {
+function buildSteps (pool: Pool, getFactor: (item: string, step: number) => number): ReadonlyMap<string, number>[] {
   const random = new RandomSource(9)
-  const base = new Map(pool.groups.map((group) => [group.item, 0.04 + 0.45 * random.readFraction() ** 3]))
-  const wave = new Map(pool.groups.map((group) => [group.item, random.readFraction() * 2 * Math.PI]))
-  return Array.from({ length: STEPS }, (_, step) => new Map(pool.groups.map(({ item }) => {
-    const slow = 1 + 0.5 * Math.sin(step / 40 + (wave.get(item) ?? 0))
+  const baseLoads = new Map(pool.groups.map((group) => [group.item, 0.04 + 0.45 * random.readFraction() ** 3]))
+  const phases = new Map(pool.groups.map((group) => [group.item, random.readFraction() * 2 * Math.PI]))
+  return Array.from({ length: STEP_COUNT }, (_, step) => new Map(pool.groups.map(({ item }) => {
+    const cycle = 1 + 0.5 * Math.sin(step / 40 + (phases.get(item) ?? 0))
     const noise = 1 + NOISE * (random.readFraction() * 2 - 1)
-    return [item, (base.get(item) ?? 0) * slow * noise * shape(item, step)]
+    return [item, (baseLoads.get(item) ?? 0) * cycle * noise * getFactor(item, step)]
   })))
 }
--- a/tools/bench/src/placement/findOptimum.ts
+++ b/tools/bench/src/placement/findOptimum.ts
@@ -9,7 +9,7 @@
   ints: Record<string, 1>
 }
 
-/** The most weighted demand that any placement can carry, every item having a copy; by integer programming, for small cases. */
+/** Finds the largest share of weighted demand that a placement with a copy of every item can serve, by integer programming; for small cases. */
 export function findOptimum (groups: readonly PlanGroup[], servers: readonly PlanServer[]): number {
   const model: Model = { optimize: 'attained', opType: 'max', constraints: {}, variables: {}, ints: {} }
   for (const server of servers) {
@@ -17,9 +17,9 @@
     model.constraints[`load ${server.id}`] = { max: 1 }
   }
   for (const group of groups) addGroup(model, group, servers)
-  const solved = solver.Solve(model as never) as unknown as { result: number }
-  const wanted = groups.reduce((sum, group) => sum + group.load * group.weight, 0)
-  return wanted === 0 ? 1 : solved.result / wanted
+  const solution = solver.Solve(model as never) as unknown as { result: number }
+  const totalDemand = groups.reduce((sum, group) => sum + group.load * group.weight, 0)
+  return totalDemand === 0 ? 1 : solution.result / totalDemand
 }
 
 function addGroup (model: Model, group: PlanGroup, servers: readonly PlanServer[]): void {
@@ -27,13 +27,13 @@
   model.constraints[`copies ${item}`] = { min: 1 }
   model.constraints[`demand ${item}`] = { max: group.load }
   for (const { id } of servers) {
-    const place = `place ${item} ${id}`
+    const placement = `place ${item} ${id}`
     const flow = `flow ${item} ${id}`
     const link = `link ${item} ${id}`
     model.constraints[link] = { max: 0 }
-    model.variables[place] = { [`bytes ${id}`]: group.bytes, [`copies ${item}`]: 1, [link]: -1, [place]: 1 }
-    model.constraints[place] = { max: 1 }
-    model.ints[place] = 1
+    model.variables[placement] = { [`bytes ${id}`]: group.bytes, [`copies ${item}`]: 1, [link]: -1, [placement]: 1 }
+    model.constraints[placement] = { max: 1 }
+    model.ints[placement] = 1
     model.variables[flow] = { attained: group.weight, [`load ${id}`]: 1, [`demand ${item}`]: 1, [link]: 1 }
   }
 }
--- a/tools/bench/src/placement/runPlacement.ts
+++ b/tools/bench/src/placement/runPlacement.ts
@@ -5,8 +5,8 @@
 import { findOptimum } from './findOptimum.js'
 import { simulatePlacement } from './simulatePlacement.js'
 
-const SMALL_CASES = 12
-const STEADY_STEPS = 60
+const SMALL_CASE_COUNT = 12
+const STEADY_STEP_COUNT = 60
 
 const PLANNERS: Readonly<Record<string, () => Planner>> = {
   'static even': () => new StaticPlanner(),
@@ -14,7 +14,7 @@
   'product': () => new HysteresisPlanner(),
 }
 
-/** Attainment and moves on traces of demand, against baselines, and against the optimum on small cases. */
+/** Compares planners by attainment and moves on demand traces, and with the optimum on small cases. */
 export async function runPlacement (): Promise<void> {
   const pool = buildPool()
   const rows: Row[] = []
@@ -27,7 +27,7 @@
         'attainment': roundTo(result.attainment, 4),
         'per accelerator': roundTo(result.attainment / pool.servers.length, 5),
         'moves': result.moves,
-        'item-steps without a copy': result.unreachable,
+        'item-steps without a copy': result.unservedItemSteps,
       })
     }
   }
@@ -35,16 +35,16 @@
   compareWithOptimum()
 }
 
-/** Small steady cases, where the best placement can be found by integer programming. */
+/** Compares the planners with the optimum on small cases with constant demand. */
 function compareWithOptimum (): void {
   const shares: Record<string, number[]> = { 'static even': [], 'greedy': [], 'product': [] }
-  for (let i = 0; i < SMALL_CASES; i++) {
+  for (let i = 0; i < SMALL_CASE_COUNT; i++) {
     const { groups, servers } = buildSmallCase(i)
-    const best = findOptimum(groups, servers)
-    const steps = Array.from({ length: STEADY_STEPS }, () => new Map(groups.map((group) => [group.item, group.load])))
+    const optimum = findOptimum(groups, servers)
+    const steps = Array.from({ length: STEADY_STEP_COUNT }, () => new Map(groups.map((group) => [group.item, group.load])))
     for (const [name, create] of Object.entries(PLANNERS)) {
-      const trace = { name: 'steady', steps: steps.slice(-20), losses: [] }
-      shares[name]?.push(simulatePlacement(create(), groups, servers, trace).attainment / best)
+      const trace = { name: 'steady', steps: steps.slice(-20), failures: [] }
+      shares[name]?.push(simulatePlacement(create(), groups, servers, trace).attainment / optimum)
     }
   }
   const rows = Object.entries(shares).map(([planner, values]) => ({
--- a/tools/bench/src/placement/runPlanScale.ts
+++ b/tools/bench/src/placement/runPlanScale.ts
@@ -2,29 +2,29 @@
 import { HysteresisPlanner, type PlanCopy, type PlanGroup, type PlanInput, type PlanServer } from '@pulleystack/placement.planner'
 import { printReport, roundTo, type Row } from '../report.js'
 
-const SIZES = [33, 100, 1_000, 3_000, 12_000]
-const MODELS = 810
-const SHARD = 100
+const POOL_SIZES = [33, 100, 1_000, 3_000, 12_000]
+const MAX_MODELS = 810
+const ACCELERATORS_PER_SHARD = 100
 const REPEATS = 5
 const LEASE_RENEWALS_PER_SECOND = 1 / 3
 
-/** Time and memory of one plan, for the whole pool at once and for one shard of it. */
+/** Measures time and memory of one plan, for the whole pool and for one shard. */
 export async function runPlanScale (): Promise<void> {
   const rows: Row[] = []
-  for (const accelerators of SIZES) {
-    const models = Math.min(MODELS, accelerators * 3)
-    const whole = measurePlan(accelerators, models)
-    const shards = Math.max(1, Math.ceil(accelerators / SHARD))
-    const shard = measurePlan(Math.min(accelerators, SHARD), Math.ceil(models / shards))
+  for (const accelerators of POOL_SIZES) {
+    const models = Math.min(MAX_MODELS, accelerators * 3)
+    const wholePool = measurePlan(accelerators, models)
+    const shardCount = Math.max(1, Math.ceil(accelerators / ACCELERATORS_PER_SHARD))
+    const oneShard = measurePlan(Math.min(accelerators, ACCELERATORS_PER_SHARD), Math.ceil(models / shardCount))
     rows.push({
       accelerators,
       models,
-      'whole: ms a plan': roundTo(whole.ms, 2),
-      'whole: MB': roundTo(whole.megabytes, 1),
-      'steps': whole.steps,
-      shards,
-      'one shard: ms a plan': roundTo(shard.ms, 2),
-      'lease writes/s, all shards': roundTo(shards * LEASE_RENEWALS_PER_SECOND / 3, 2),
+      'whole: ms a plan': roundTo(wholePool.ms, 2),
+      'whole: MB': roundTo(wholePool.megabytes, 1),
+      'steps': wholePool.steps,
+      'shards': shardCount,
+      'one shard: ms a plan': roundTo(oneShard.ms, 2),
+      'lease writes/s, all shards': roundTo(shardCount * LEASE_RENEWALS_PER_SECOND / 3, 2),
     })
   }
   printReport('plan-scale', rows, { leaseSeconds: 9 })
@@ -35,15 +35,15 @@
   const planner = new HysteresisPlanner()
   planner.plan(input)
   globalThis.gc?.()
-  const before = process.memoryUsage().heapUsed
+  const heapBefore = process.memoryUsage().heapUsed
   const started = performance.now()
   let steps = 0
   for (let i = 0; i < REPEATS; i++) steps = planner.plan(input).steps.length
   const ms = (performance.now() - started) / REPEATS
-  return { ms, megabytes: Math.max(0, process.memoryUsage().heapUsed - before) / REPEATS / 1024 ** 2, steps }
+  return { ms, megabytes: Math.max(0, process.memoryUsage().heapUsed - heapBefore) / REPEATS / 1024 ** 2, steps }
 }
 
-/** A pool that is placed and in which a tenth of the items have grown in demand. */
+/** Builds a fully placed pool in which a tenth of the items have three times the usual demand. */
 function buildInput (accelerators: number, models: number): PlanInput {
   const random = new RandomSource(77)
   const servers = Array.from({ length: accelerators }, (_, i): PlanServer => ({ id: `s${i}`, dataHall: `h${i % 12}`, capacity: 100, reserved: 0 }))
--- a/tools/bench/src/placement/simulatePlacement.ts
+++ b/tools/bench/src/placement/simulatePlacement.ts
@@ -1,18 +1,18 @@
 import { computeAttainment, type Plan, type PlanCopy, type PlanGroup, type Planner, type PlanServer } from '@pulleystack/placement.planner'
 
-/** Demand of each item at each step, as a share of an accelerator. */
+/** Demand of each item at each step, in accelerators. */
 export interface DemandTrace {
   name: string
   steps: readonly ReadonlyMap<string, number>[]
-  /** Accelerators that are gone from a step on. */
-  losses: readonly { step: number, servers: readonly string[] }[]
+  /** Accelerators that fail permanently at a step. */
+  failures: readonly { step: number, servers: readonly string[] }[]
 }
 
 export interface SimulationResult {
   attainment: number
   moves: number
-  /** Steps in which some item had no ready copy, summed over items, after the first placement. */
-  unreachable: number
+  /** Number of steps without a ready copy, summed over items; the settling steps don't count. */
+  unservedItemSteps: number
 }
 
 const LOAD_STEPS = 1
@@ -20,32 +20,32 @@
 const LOADS_PER_STEP = 8
 const MOVES_PER_STEP = 8
 const SETTLE_STEPS = 12
-const RISE = 0.63
-const FALL = 0.05
+const RISE_SMOOTHING = 0.63
+const FALL_SMOOTHING = 0.05
 
-interface MovingCopy extends PlanCopy {
-  readyAt: number
-  goneAt: number
+interface SimulatedCopy extends PlanCopy {
+  readyAtStep: number
+  removedAtStep: number
 }
 
-/** Lets a planner follow a trace: loads take a step, unloads free their bytes a step later, demand is estimated. */
+/** Runs a planner on a trace. Loads take a step, unloads free their bytes a step later, and the planner sees smoothed demand. */
 export function simulatePlacement (planner: Planner, groups: readonly PlanGroup[], servers: readonly PlanServer[], trace: DemandTrace): SimulationResult {
-  let copies: MovingCopy[] = []
+  let copies: SimulatedCopy[] = []
   const estimates = new Map<string, number>()
-  const result = { attainment: 0, moves: 0, unreachable: 0 }
+  const result = { attainment: 0, moves: 0, unservedItemSteps: 0 }
   const first = trace.steps[0] as ReadonlyMap<string, number>
   for (let step = -SETTLE_STEPS; step < trace.steps.length; step++) {
     const demand = trace.steps[Math.max(0, step)] ?? first
-    const alive = listAlive(servers, trace, step)
-    copies = copies.filter((copy) => copy.goneAt > step && alive.some((server) => server.id === copy.server))
+    const available = listAvailableServers(servers, trace, step)
+    copies = copies.filter((copy) => copy.removedAtStep > step && available.some((server) => server.id === copy.server))
     updateEstimates(estimates, demand)
-    const plan = planStep(planner, groups, alive, copies, estimates)
+    const plan = planStep(planner, groups, available, copies, estimates)
     copies = applyPlan(plan, copies, step)
     if (step < 0) continue
     const holders = listHolders(copies, step)
     result.moves += plan.steps.filter((it) => it.action === 'load').length
     result.attainment += computeAttainment(groups.map((group) => ({ ...group, load: demand.get(group.item) ?? 0 })), holders)
-    result.unreachable += groups.filter((group) => !holders.has(group.item)).length
+    result.unservedItemSteps += groups.filter((group) => !holders.has(group.item)).length
   }
   result.attainment /= trace.steps.length
   return result
@@ -54,51 +54,51 @@
 function planStep (
   planner: Planner,
   groups: readonly PlanGroup[],
-  alive: readonly PlanServer[],
-  copies: readonly MovingCopy[],
+  available: readonly PlanServer[],
+  copies: readonly SimulatedCopy[],
   estimates: ReadonlyMap<string, number>,
 ): Plan {
-  const staying = copies.filter((copy) => copy.goneAt === Infinity)
-  const leaving = copies.filter((copy) => copy.goneAt < Infinity)
-  const servers = alive.map((server) => ({ ...server, reserved: sumBytes(groups, leaving.filter((copy) => copy.server === server.id)) }))
+  const remaining = copies.filter((copy) => copy.removedAtStep === Infinity)
+  const unloading = copies.filter((copy) => copy.removedAtStep < Infinity)
+  const servers = available.map((server) => ({ ...server, reserved: sumBytes(groups, unloading.filter((copy) => copy.server === server.id)) }))
   return planner.plan({
     groups: groups.map((group) => ({ ...group, load: estimates.get(group.item) ?? 0 })),
     servers,
-    copies: staying,
+    copies: remaining,
     quotas: {},
     maxLoads: LOADS_PER_STEP,
     maxMoves: MOVES_PER_STEP,
   })
 }
 
-function applyPlan (plan: Plan, copies: MovingCopy[], step: number): MovingCopy[] {
+function applyPlan (plan: Plan, copies: SimulatedCopy[], step: number): SimulatedCopy[] {
   const next = [...copies]
   let loads = 0
   for (const it of plan.steps) {
-    if (it.action === 'load' && loads++ < LOADS_PER_STEP) next.push({ item: it.item, server: it.server, ready: true, readyAt: step + LOAD_STEPS, goneAt: Infinity })
-    const leaving = it.action === 'unload' ? next.find((copy) => copy.item === it.item && copy.server === it.server && copy.goneAt === Infinity) : undefined
-    if (leaving) leaving.goneAt = step + UNLOAD_STEPS
+    if (it.action === 'load' && loads++ < LOADS_PER_STEP) next.push({ item: it.item, server: it.server, ready: true, readyAtStep: step + LOAD_STEPS, removedAtStep: Infinity })
+    const unloading = it.action === 'unload' ? next.find((copy) => copy.item === it.item && copy.server === it.server && copy.removedAtStep === Infinity) : undefined
+    if (unloading) unloading.removedAtStep = step + UNLOAD_STEPS
   }
   return next
 }
 
-function listAlive (servers: readonly PlanServer[], trace: DemandTrace, step: number): PlanServer[] {
-  const lost = new Set(trace.losses.filter((loss) => loss.step <= step).flatMap((loss) => loss.servers))
-  return servers.filter((server) => !lost.has(server.id))
+function listAvailableServers (servers: readonly PlanServer[], trace: DemandTrace, step: number): PlanServer[] {
+  const failedServers = new Set(trace.failures.filter((loss) => loss.step <= step).flatMap((loss) => loss.servers))
+  return servers.filter((server) => !failedServers.has(server.id))
 }
 
-function listHolders (copies: readonly MovingCopy[], step: number): Map<string, string[]> {
+function listHolders (copies: readonly SimulatedCopy[], step: number): Map<string, string[]> {
   const holders = new Map<string, string[]>()
   for (const copy of copies) {
-    if (copy.readyAt <= step && copy.goneAt > step) holders.set(copy.item, [...holders.get(copy.item) ?? [], copy.server])
+    if (copy.readyAtStep <= step && copy.removedAtStep > step) holders.set(copy.item, [...holders.get(copy.item) ?? [], copy.server])
   }
   return holders
 }
 
 function updateEstimates (estimates: Map<string, number>, demand: ReadonlyMap<string, number>): void {
   for (const [item, load] of demand) {
-    const held = estimates.get(item) ?? load
-    estimates.set(item, held + (load - held) * (load > held ? RISE : FALL))
+    const estimate = estimates.get(item) ?? load
+    estimates.set(item, estimate + (load - estimate) * (load > estimate ? RISE_SMOOTHING : FALL_SMOOTHING))
   }
 }
 
--- a/tools/bench/src/report.ts
+++ b/tools/bench/src/report.ts
@@ -1,21 +1,21 @@
-/** One line of a report. */
+/** One row of a report. */
 export type Row = Readonly<Record<string, string | number>>
 
-/** Prints rows as a table, and then all of it as one JSON line for programs. */
-export function printReport (bench: string, rows: readonly Row[], facts: Readonly<Record<string, unknown>> = {}): void {
+/** Prints the rows as a table, followed by the whole report as one JSON line. */
+export function printReport (bench: string, rows: readonly Row[], metadata: Readonly<Record<string, unknown>> = {}): void {
   printTable(rows)
-  console.log(JSON.stringify({ bench, at: new Date().toISOString(), ...facts, rows }))
+  console.log(JSON.stringify({ bench, at: new Date().toISOString(), ...metadata, rows }))
 }
 
 export function printTable (rows: readonly Row[]): void {
   const columns = [...new Set(rows.flatMap((row) => Object.keys(row)))]
   const cells = [columns, ...rows.map((row) => columns.map((column) => formatCell(row[column])))]
   const widths = columns.map((_, i) => Math.max(...cells.map((row) => row[i]?.length ?? 0)))
-  for (const row of cells) console.log(row.map((cell, i) => i === 0 ? cell.padEnd(widths[i] ?? 0) : cell.padStart(widths[i] ?? 0)).join('  '))
+  for (const row of cells) console.log(row.map((cell, column) => column === 0 ? cell.padEnd(widths[column] ?? 0) : cell.padStart(widths[column] ?? 0)).join('  '))
   console.log('')
 }
 
-/** The value below which a share of the samples lies. */
+/** Computes the quantile of the samples at `share`, between 0 and 1; 0 without samples. */
 export function computeQuantile (samples: readonly number[], share: number): number {
   if (samples.length === 0) return 0
   const sorted = samples.toSorted((a, b) => a - b)
--- a/tools/bench/src/routing/simulateRouting.ts
+++ b/tools/bench/src/routing/simulateRouting.ts
@@ -7,9 +7,9 @@
 import { buildModel, buildQuota, buildService, createReplica } from '@pulleystack/tools.testing'
 import { RoutingNode, TimedEngines, type TimedEnginesOptions } from '@pulleystack/tools.replay'
 
-const NODES = ['a', 'b', 'c']
-const REPORT_MS = 250
-const LAG_MS = 200
+const INSTANCE_NAMES = ['a', 'b', 'c']
+const REPORT_INTERVAL_MS = 250
+const REPORT_DELAY_MS = 200
 const STEP_MS = 20
 const ITEM = buildModelItem('p', 'm')
 
@@ -24,8 +24,8 @@
 
 export interface SimulatedAnswer {
   request: SimulatedRequest
-  firstMs?: number
-  ms: number
+  firstTokenMs?: number
+  durationMs: number
   error?: PulleystackError
 }
 
@@ -33,12 +33,12 @@
   requests: readonly SimulatedRequest[]
   engines: Omit<TimedEnginesOptions, 'clock'>
   createPicker?: (random: RandomSource) => Picker
-  /** Baseline: send at once and let the engines' own queues sort it out. */
+  /** Baseline: send each request at once to a random engine, which queues it. */
   direct?: boolean
 }
 
-/** Three instances before engines in memory, on an injected clock: the same load always takes the same course. */
-export async function simulate (opts: SimulationOptions): Promise<{ answers: SimulatedAnswer[], engines: TimedEngines }> {
+/** Simulates three instances and in-memory engines on a manual clock; the same load always has the same result. */
+export async function simulateRouting (opts: SimulationOptions): Promise<{ answers: SimulatedAnswer[], engines: TimedEngines }> {
   const clock = new ManualClock()
   const random = new RandomSource(17)
   const engines = new TimedEngines({ ...opts.engines, clock })
@@ -47,10 +47,10 @@
   for (const request of opts.requests) {
     const node = random.pickOne(nodes)
     const address = String(random.readBelow(opts.engines.count))
-    const run = () => opts.direct ? runDirect(engines, address, request, clock) : runRouted(node, request, clock)
-    clock.setTimer(request.at, () => void run().then((it) => answers.push(it)))
+    const runRequest = () => opts.direct ? runDirect(engines, address, request, clock) : runRouted(node, request, clock)
+    clock.setTimer(request.at, () => void runRequest().then((it) => answers.push(it)))
   }
-  keepReporting(clock, engines, nodes)
+  scheduleReports(clock, engines, nodes)
   while (answers.length < opts.requests.length) await clock.advance(STEP_MS)
   return { answers, engines }
 }
@@ -64,22 +64,22 @@
     buildService('p', 'work'),
     buildModel('p', 'm', { service: 'work' }),
   ])
-  let ids = 0
-  return NODES.map((name, i) => {
+  let nextId = 0
+  return INSTANCE_NAMES.map((name, i) => {
     const random = new RandomSource(100 + i)
     const picker = opts.createPicker?.(random)
-    return new RoutingNode({ clock, random, name, instanceNames: NODES, hub, store, engines, replica, items: [ITEM], createId: () => `x${ids++}`, picker, stallMs: 60_000 })
+    return new RoutingNode({ clock, random, name, instanceNames: INSTANCE_NAMES, hub, store, engines, replica, items: [ITEM], createId: () => `x${nextId++}`, picker, stallMs: 60_000 })
   })
 }
 
-function keepReporting (clock: ManualClock, engines: TimedEngines, nodes: readonly RoutingNode[]): void {
+function scheduleReports (clock: ManualClock, engines: TimedEngines, nodes: readonly RoutingNode[]): void {
   for (let i = 0; i < engines.engines.length; i++) {
     const report = engines.takeReport(i)
-    const passOn = (ageMs: number): void => nodes.forEach((node) => node.applyReport(engines, i, report, ageMs))
-    if (clock.readTime() === 0) passOn(0)
-    else clock.setTimer(LAG_MS, () => passOn(LAG_MS))
+    const sendReport = (ageMs: number): void => nodes.forEach((node) => node.applyReport(engines, i, report, ageMs))
+    if (clock.readTime() === 0) sendReport(0)
+    else clock.setTimer(REPORT_DELAY_MS, () => sendReport(REPORT_DELAY_MS))
   }
-  clock.setTimer(REPORT_MS, () => keepReporting(clock, engines, nodes))
+  clock.setTimer(REPORT_INTERVAL_MS, () => scheduleReports(clock, engines, nodes))
 }
 
 async function runRouted (node: RoutingNode, request: SimulatedRequest, clock: ManualClock): Promise<SimulatedAnswer> {
@@ -97,29 +97,29 @@
     prompt: request.prompt,
     maxTokens: request.tokens,
   }
-  return collect(request, clock, (onToken) => node.generations.run(work, onToken))
+  return collectAnswer(request, clock, (onToken) => node.generations.run(work, onToken))
 }
 
 async function runDirect (engines: TimedEngines, address: string, request: SimulatedRequest, clock: ManualClock): Promise<SimulatedAnswer> {
-  const abort = new AbortController()
-  const cancel = clock.setTimer(request.deadlineMs, () => abort.abort())
+  const abortController = new AbortController()
+  const cancelTimer = clock.setTimer(request.deadlineMs, () => abortController.abort())
   const attempt = `${request.at}-${request.prompt.slice(-12)}`
   const call = { attempt, item: ITEM, prompt: request.prompt, maxTokens: request.tokens, priority: request.isLookup ? 0 : 1, offset: 0 }
-  const answer = await collect(request, clock, (onToken) => engines.generate(address, call, onToken, abort.signal))
-  cancel()
+  const answer = await collectAnswer(request, clock, (onToken) => engines.generate(address, call, onToken, abortController.signal))
+  cancelTimer()
   return answer
 }
 
-async function collect (request: SimulatedRequest, clock: ManualClock, run: (onToken: () => void) => Promise<unknown>): Promise<SimulatedAnswer> {
+async function collectAnswer (request: SimulatedRequest, clock: ManualClock, run: (onToken: () => void) => Promise<unknown>): Promise<SimulatedAnswer> {
   const started = clock.readTime()
-  let firstMs: number | undefined
+  let firstTokenMs: number | undefined
   const onToken = (): void => {
-    firstMs ??= clock.readTime() - started
+    firstTokenMs ??= clock.readTime() - started
   }
   try {
     await run(onToken)
-    return { request, firstMs, ms: clock.readTime() - started }
+    return { request, firstTokenMs, durationMs: clock.readTime() - started }
   } catch (thrown) {
-    return { request, firstMs, ms: clock.readTime() - started, error: convertToError(thrown) }
+    return { request, firstTokenMs, durationMs: clock.readTime() - started, error: convertToError(thrown) }
   }
 }
--- a/tools/scripts/renderLogLines.mts
+++ b/tools/scripts/renderLogLines.mts
@@ -5,7 +5,7 @@
 
 const ROOT = path.join(import.meta.dirname, '../..')
 
-const LINES_HEAD = `# Lines of the log
+const LOG_LINES_HEADER = `# Lines of the log
 
 One JSON line for each decision of an entry instance for routed requests, with \`time\`, \`name\` (the instance) and \`msg\` (the kind). Times are
 milliseconds; a field with a question mark may be left out. This table is written by \`npm run docs\` from \`DecisionFacts\`, which the compiler holds
@@ -40,5 +40,5 @@
     const fields = member.type ? listFields(member.type, interfaces) : []
     return `| \`${member.name.getText().replaceAll('\'', '')}\` | ${fields.join(', ')} | ${readComment(member)} |`
   })
-  return `${LINES_HEAD}${rows.join('\n')}\n`
+  return `${LOG_LINES_HEADER}${rows.join('\n')}\n`
 }
--- a/tools/scripts/write-capacity.mts
+++ b/tools/scripts/write-capacity.mts
@@ -1,12 +1,12 @@
 // Writes the tables of docs/CAPACITY.md from docs/capacity/measured.json, so that the page cannot drift from what was
 // measured. With --check it only compares, and exits with 1 when they differ.
 import fs from 'node:fs'
-import { renderBudgetTable, renderSlopeTable, type Measured } from '../bench/src/capacity/budget.js'
+import { renderBudgetTable, renderSlopeTable, type Measurements } from '../bench/src/capacity/budget.js'
 
 const PAGE = 'docs/CAPACITY.md'
-const FILE = 'docs/capacity/measured.json'
+const MEASUREMENTS_FILE = 'docs/capacity/measured.json'
 
-function replaceBetween (text: string, name: string, table: string): string {
+function replaceSection (text: string, name: string, table: string): string {
   const begin = `<!-- ${name} -->`
   const end = `<!-- end of ${name} -->`
   const from = text.indexOf(begin)
@@ -15,8 +15,8 @@
   return `${text.slice(0, from + begin.length)}\n${table}\n${text.slice(to)}`
 }
 
-const measured = JSON.parse(fs.readFileSync(FILE, 'utf8')) as Measured
-const present = fs.readFileSync(PAGE, 'utf8')
-const written = replaceBetween(replaceBetween(present, 'slopes', renderSlopeTable(measured)), 'budget', renderBudgetTable(measured))
-if (process.argv.includes('--check')) process.exit(written === present ? 0 : 1)
+const measured = JSON.parse(fs.readFileSync(MEASUREMENTS_FILE, 'utf8')) as Measurements
+const current = fs.readFileSync(PAGE, 'utf8')
+const written = replaceSection(replaceSection(current, 'slopes', renderSlopeTable(measured)), 'budget', renderBudgetTable(measured))
+if (process.argv.includes('--check')) process.exit(written === current ? 0 : 1)
 fs.writeFileSync(PAGE, written)
--- a/tools/scripts/write-docs.mts
+++ b/tools/scripts/write-docs.mts
@@ -5,7 +5,7 @@
 import { ResultCodes } from '../../core/errors/src/index.js'
 import { renderLogLines } from './renderLogLines.mjs'
 
-const CODES_HEAD = `# Result codes
+const RESULT_CODES_HEADER = `# Result codes
 
 Every error that a caller or an operator sees has one of these numbers. *Ran* says what may be assumed about the work:
 \`no\` means that nothing of it was acted on, \`unknown\` that it may have run, \`yes\` that it ran at least in part. An
@@ -15,9 +15,9 @@
 |---|---|---|---|---|
 `
 
-function writeCodes (): void {
+function writeResultCodes (): void {
   const rows = Object.entries(ResultCodes).map(([name, code]) => `| ${code.number} | ${name} | ${code.status} | ${code.ran} | ${code.meaning} |`)
-  fs.writeFileSync('docs/result-codes.md', `${CODES_HEAD}${rows.join('\n')}\n`)
+  fs.writeFileSync('docs/result-codes.md', `${RESULT_CODES_HEADER}${rows.join('\n')}\n`)
 }
 
 function writeSchemas (): void {
@@ -27,6 +27,6 @@
   }
 }
 
-writeCodes()
+writeResultCodes()
 fs.writeFileSync('docs/log-lines.md', renderLogLines())
 writeSchemas()
