--- a/tools/bench/src/placement/runPlanScale.ts
+++ b/tools/bench/src/placement/runPlanScale.ts
@@ -14,17 +14,17 @@
   for (const accelerators of POOL_SIZES) {
     const models = Math.min(MAX_MODELS, accelerators * 3)
     const wholePool = measurePlan(accelerators, models)
-    const shardCount = Math.max(1, Math.ceil(accelerators / ACCELERATORS_PER_SHARD))
-    const oneShard = measurePlan(Math.min(accelerators, ACCELERATORS_PER_SHARD), Math.ceil(models / shardCount))
+    const shards = Math.max(1, Math.ceil(accelerators / ACCELERATORS_PER_SHARD))
+    const oneShard = measurePlan(Math.min(accelerators, ACCELERATORS_PER_SHARD), Math.ceil(models / shards))
     rows.push({
       accelerators,
       models,
       'whole: ms a plan': roundTo(wholePool.ms, 2),
       'whole: MB': roundTo(wholePool.megabytes, 1),
       'steps': wholePool.steps,
-      'shards': shardCount,
+      shards,
       'one shard: ms a plan': roundTo(oneShard.ms, 2),
-      'lease writes/s, all shards': roundTo(shardCount * LEASE_RENEWALS_PER_SECOND / 3, 2),
+      'lease writes/s, all shards': roundTo(shards * LEASE_RENEWALS_PER_SECOND / 3, 2),
     })
   }
   printReport('plan-scale', rows, { leaseSeconds: 9 })
