--- a/tools/bench/src/CpuProfiler.ts
+++ b/tools/bench/src/CpuProfiler.ts
@@ -21,10 +21,10 @@
 }
 
 function listHottestFunctions (profile: Profiler.Profile, count: number): { place: string, share: number }[] {
-  const placeById = new Map(profile.nodes.map((node) => [node.id, `${node.callFrame.functionName || '(anonymous)'} ${shorten(node.callFrame.url)}:${node.callFrame.lineNumber + 1}`]))
+  const places = new Map(profile.nodes.map((node) => [node.id, `${node.callFrame.functionName || '(anonymous)'} ${shorten(node.callFrame.url)}:${node.callFrame.lineNumber + 1}`]))
   const secondsByPlace = new Map<string, number>()
   profile.samples?.forEach((id, i) => {
-    const place = placeById.get(id) ?? '?'
+    const place = places.get(id) ?? '?'
     secondsByPlace.set(place, (secondsByPlace.get(place) ?? 0) + (profile.timeDeltas?.[i] ?? 0) / MICROS_PER_SECOND)
   })
   const busySeconds = [...secondsByPlace].filter(([place]) => !place.startsWith('(idle)')).reduce((sum, [, seconds]) => sum + seconds, 0)
