--- a/tools/scripts/bundle.d.mts
+++ b/tools/scripts/bundle.d.mts
@@ -1,4 +1,4 @@
 import type { Metafile } from 'esbuild'
 
-/** Bundles what an entry point imports into one CommonJS file. */
+/** Bundles an entry point and its imports into one CommonJS file. */
 export declare function writeBundle (opts: { entryPoint: string, outfile: string, define?: Record<string, string> }): Promise<Metafile>
--- a/tools/scripts/bundle.mjs
+++ b/tools/scripts/bundle.mjs
@@ -1,20 +1,19 @@
-// Puts a program and the libraries that it uses into one file.
+// Bundles a program and its dependencies into one file.
 import { build } from 'esbuild'
 
-/** Native helpers and log formats that our libraries can do without and that can't stand in one file. */
-const OPTIONAL = /^(dtrace-provider|bufferutil|utf-8-validate|msgpackr-extract|source-map-support|mv|safe-json-stringify|moment)$/
+/** Optional dependencies of the libraries, which are left out of the bundle. */
+const OPTIONAL_MODULES = /^(dtrace-provider|bufferutil|utf-8-validate|msgpackr-extract|source-map-support|mv|safe-json-stringify|moment)$/
 
-const leaveOutOptional = {
-  name: 'leave-out-optional',
+const omitOptionalModules = {
+  name: 'omit-optional-modules',
   setup (builder) {
-    builder.onResolve({ filter: OPTIONAL }, ({ path: name }) => ({ path: name, namespace: 'left-out' }))
-    builder.onLoad({ filter: /.*/, namespace: 'left-out' }, () => ({ contents: 'throw new Error("not in the bundle")' }))
+    builder.onResolve({ filter: OPTIONAL_MODULES }, ({ path: name }) => ({ path: name, namespace: 'omitted' }))
+    builder.onLoad({ filter: /.*/, namespace: 'omitted' }, () => ({ contents: 'throw new Error("optional module is not bundled")' }))
   },
 }
 
 /**
- * Bundles what an entry point imports; every process compiles the whole file when it starts, so that what is not used is left out. Gives esbuild's account
- * of what came from where.
+ * Bundles an entry point and its imports without unused code, because every process compiles the whole file at startup. Returns esbuild's metafile.
  */
 export async function writeBundle ({ entryPoint, outfile, define = {} }) {
   const { metafile } = await build({
@@ -25,9 +24,9 @@
     target: 'node20',
     format: 'cjs',
     mainFields: ['module', 'main'],
-    // Its CommonJS form, which the condition "node" stands for, comes whole: 350 KB in place of 40.
+    // The "node" export condition selects the CommonJS build, which esbuild can't tree-shake.
     alias: { rxjs: './node_modules/rxjs/dist/esm/index.js' },
-    plugins: [leaveOutOptional],
+    plugins: [omitOptionalModules],
     define,
     logLevel: 'warning',
     metafile: true,
--- a/tools/scripts/check-names.mjs
+++ b/tools/scripts/check-names.mjs
@@ -1,16 +1,16 @@
-// Checks that the name of every function and method begins with a verb of docs/verbs.md, or is one that its section of
-// exceptions lists.
+// Checks that the name of every function and method begins with a verb listed in docs/verbs.md, or is listed there as an
+// exception. `--words` also prints the unknown first words with their numbers of uses.
 import fs from 'node:fs'
 import path from 'node:path'
 import ts from 'typescript'
 
-const SKIPPED = new Set(['node_modules', 'dist', '.git', 'test', 'features'])
+const SKIPPED_DIRS = new Set(['node_modules', 'dist', '.git', 'test', 'features'])
 const PREDICATES = new Set(['is', 'has', 'may', 'can', 'have', 'must'])
 
 function listSources (dir) {
   return fs.readdirSync(dir, { withFileTypes: true }).flatMap((entry) => {
     const name = path.join(dir, entry.name)
-    if (entry.isDirectory()) return SKIPPED.has(entry.name) ? [] : listSources(name)
+    if (entry.isDirectory()) return SKIPPED_DIRS.has(entry.name) ? [] : listSources(name)
     return entry.name.endsWith('.ts') ? [name] : []
   })
 }
@@ -45,14 +45,14 @@
 }
 
 const { verbs, exceptions } = readVerbs()
-const unknown = new Map()
+const unknownVerbs = new Map()
 for (const file of listSources('.')) {
   for (const name of listNames(file)) {
     const verb = getVerb(name)
     if (verbs.has(verb) || PREDICATES.has(verb) || exceptions.has(name)) continue
-    unknown.set(verb, [...unknown.get(verb) ?? [], `${file}: ${name}`])
+    unknownVerbs.set(verb, [...unknownVerbs.get(verb) ?? [], `${file}: ${name}`])
   }
 }
-for (const places of unknown.values()) console.error(places.join('\n'))
-if (process.argv.includes('--words')) console.log([...unknown].map(([verb, places]) => `${verb} ${places.length}`).join('\n'))
-process.exit(unknown.size === 0 ? 0 : 1)
+for (const places of unknownVerbs.values()) console.error(places.join('\n'))
+if (process.argv.includes('--words')) console.log([...unknownVerbs].map(([verb, places]) => `${verb} ${places.length}`).join('\n'))
+process.exit(unknownVerbs.size === 0 ? 0 : 1)
--- a/tools/scripts/check-platform-names.mjs
+++ b/tools/scripts/check-platform-names.mjs
@@ -1,12 +1,11 @@
-// Checks that names of the users' platform (headers, paths, kinds and fields of its pages) stand only in platform/ and
-// deploy/. The list is written here by hand: CI runs without the pages.
+// Checks that platform-specific names (headers, paths and fields of its API) occur only in platform/ and deploy/.
 import fs from 'node:fs'
 import path from 'node:path'
 
-const ALLOWED = new Set(['platform', 'deploy'])
-const SKIPPED = new Set(['node_modules', 'dist', 'target', '.git', '.cache', 'docs', 'journal'])
+const ALLOWED_DIRS = new Set(['platform', 'deploy'])
+const SKIPPED_DIRS = new Set(['node_modules', 'dist', 'target', '.git', '.cache', 'docs', 'journal'])
 const SELF = path.join('tools', 'scripts', 'check-platform-names.mjs')
-const CHECKED = /\.(ts|mts|mjs|js|feature)$/
+const CHECKED_FILES = /\.(ts|mts|mjs|js|feature)$/
 
 const HEADERS = [
   'Server-Stamp',
@@ -50,21 +49,21 @@
 const HEADER_PATTERNS = HEADERS.map((name) => new RegExp(`(?<![\\w-])${name}(?![\\w-])`, 'i'))
 const PATTERNS = [...HEADER_PATTERNS, ...[...PATHS, ...FIELDS].map((name) => new RegExp(name))]
 
-/** The product's own header ends alike and is not the platform's. */
-const OWN = /pulleystack-deadline-ms/gi
+/** The product's own header, whose name ends like one of the platform's headers. */
+const OWN_HEADER = /pulleystack-deadline-ms/gi
 
 function listFiles (dir) {
   return fs.readdirSync(dir, { withFileTypes: true }).flatMap((entry) => {
     const name = path.join(dir, entry.name)
-    if (entry.isDirectory()) return SKIPPED.has(entry.name) || (dir === '.' && ALLOWED.has(entry.name)) ? [] : listFiles(name)
-    return CHECKED.test(entry.name) && name !== SELF ? [name] : []
+    if (entry.isDirectory()) return SKIPPED_DIRS.has(entry.name) || (dir === '.' && ALLOWED_DIRS.has(entry.name)) ? [] : listFiles(name)
+    return CHECKED_FILES.test(entry.name) && name !== SELF ? [name] : []
   })
 }
 
 const problems = listFiles('.').flatMap((file) => fs.readFileSync(file, 'utf8').split('\n').flatMap((line, at) => {
-  const text = line.replace(OWN, '')
+  const text = line.replace(OWN_HEADER, '')
   const found = PATTERNS.find((pattern) => pattern.test(text))
-  return found ? [`${file}:${at + 1}: ${found.source} is the platform's name`] : []
+  return found ? [`${file}:${at + 1}: ${found.source} is a platform-specific name`] : []
 }))
 for (const problem of problems) console.error(problem)
 process.exit(problems.length ? 1 : 0)
--- a/tools/scripts/failedTestsReporter.mjs
+++ b/tools/scripts/failedTestsReporter.mjs
@@ -1,4 +1,4 @@
-// A reporter of node's test runner: writes the full name of each failed test on a line, its suites first, joined by ' > '.
+// Reporter for Node's test runner: writes one line per failed test, with the names of its suites and the test joined by ' > '.
 const SEPARATOR = ' > '
 
 export default async function* reportFailed (source) {
--- a/tools/scripts/renderLogLines.mts
+++ b/tools/scripts/renderLogLines.mts
@@ -1,4 +1,4 @@
-// Renders docs/log-lines.md from the types that the compiler holds every line of the log to.
+// Renders docs/log-lines.md from the types of the log lines.
 import fs from 'node:fs'
 import path from 'node:path'
 import ts from 'typescript'
@@ -15,7 +15,7 @@
 |---|---|---|
 `
 
-/** The names of the fields of one kind; of a name the fields of the interface so named. */
+/** Lists the field names of a log line's type; a type name is resolved to its interface. */
 function listFields (type: ts.TypeNode, interfaces: ReadonlyMap<string, ts.InterfaceDeclaration>): string[] {
   if (ts.isIntersectionTypeNode(type)) return type.types.flatMap((part) => listFields(part, interfaces))
   if (ts.isTypeReferenceNode(type)) return listMembers(interfaces.get(type.typeName.getText())?.members ?? [])
@@ -30,7 +30,7 @@
   return ts.getJSDocCommentsAndTags(member).map((doc) => ts.getTextOfJSDocComment(doc.comment) ?? '').join(' ')
 }
 
-/** The page of log lines as the types say it. */
+/** Renders the page of log lines. */
 export function renderLogLines (): string {
   const file = path.join(ROOT, 'timeline/decisions/src/DecisionFacts.ts')
   const source = ts.createSourceFile(file, fs.readFileSync(file, 'utf8'), ts.ScriptTarget.Latest, true)
--- a/tools/scripts/run-binary.mjs
+++ b/tools/scripts/run-binary.mjs
@@ -1,4 +1,4 @@
-// Runs the built binary in the foreground with the arguments given, as `npm start` does.
+// Runs the built binary in the foreground with the given arguments.
 import { spawn } from 'node:child_process'
 
 const child = spawn('dist/pulleystack', process.argv.slice(2), { stdio: 'inherit' })
--- a/tools/scripts/write-capacity.mts
+++ b/tools/scripts/write-capacity.mts
@@ -1,5 +1,5 @@
-// Writes the tables of docs/CAPACITY.md from docs/capacity/measured.json, so that the page cannot drift from what was
-// measured. With --check it only compares, and exits with 1 when they differ.
+// Writes the tables of docs/CAPACITY.md from docs/capacity/measured.json. `--check` only compares them, and exits with 1
+// if they differ.
 import fs from 'node:fs'
 import { renderBudgetTable, renderSlopeTable, type Measurements } from '../bench/src/capacity/budget.js'
 
@@ -11,7 +11,7 @@
   const end = `<!-- end of ${name} -->`
   const from = text.indexOf(begin)
   const to = text.indexOf(end)
-  if (from < 0 || to < 0) throw new Error(`${PAGE} has no place for ${name}`)
+  if (from < 0 || to < 0) throw new Error(`${PAGE} has no section markers for ${name}`)
   return `${text.slice(0, from + begin.length)}\n${table}\n${text.slice(to)}`
 }
 
--- a/tools/scripts/write-docs.mts
+++ b/tools/scripts/write-docs.mts
@@ -1,4 +1,4 @@
-// Writes the pages that are made from the code: result codes, schemas of objects, and the lines of the log.
+// Writes the generated documentation: result codes, schemas of configuration objects and log lines.
 import fs from 'node:fs'
 import path from 'node:path'
 import { createObjectJsonSchema, Kinds } from '../../config/objects/src/index.js'
