--- a/tools/bench/src/capacity/budget.ts
+++ b/tools/bench/src/capacity/budget.ts
@@ -17,8 +17,8 @@
   stopsPerDay: 2_270,
 } as const
 
-/** Assumptions about configuration and traffic, listed in docs/CAPACITY.md. */
-const ASSUMPTIONS = {
+/** Configuration and traffic parameters of the budget, listed in docs/CAPACITY.md. */
+const PARAMETERS = {
   services: 81,
   subsetSize: 4,
   itemsPerRunner: 2,
@@ -54,16 +54,16 @@
 
 type GetFit = (name: string) => { slope: number, intercept: number }
 
-export function renderSlopeTable (measured: Measurements): string {
-  const rows = measured.slopes.map(({ name, per, unit, points, fit }) => {
+export function renderSlopeTable (measurements: Measurements): string {
+  const rows = measurements.slopes.map(({ name, per, unit, points, fit }) => {
     const sizes = points.map((point) => `${point.size}: ${point.value}`).join(', ')
     return `| ${name} | ${unit} by ${per} | ${fit.slope} | ${fit.intercept} | ${(fit.error * 100).toFixed(1)}% | ${sizes} |`
   })
   return ['| Slope | Measured | Each | Fixed | Error of fit | Points |', '|---|---|---|---|---|---|', ...rows].join('\n')
 }
 
-export function renderBudgetTable (measured: Measurements): string {
-  const getFit: GetFit = (name) => measured.slopes.find((slope) => slope.name === name)?.fit ?? { slope: 0, intercept: 0 }
+export function renderBudgetTable (measurements: Measurements): string {
+  const getFit: GetFit = (name) => measurements.slopes.find((slope) => slope.name === name)?.fit ?? { slope: 0, intercept: 0 }
   const roles = listRoles(getFit)
   const total = sumRoles(roles)
   const roleRows = [...roles, total].map((role) => `| ${role.role} | ${role.state} | ${role.messages} | ${format(role.cpuPercent)} | ${format(role.megabytes)} | ${format(role.kilobytesPerSecond)} | ${role.mechanism} | ${role.slopes} |`)
@@ -73,10 +73,10 @@
 
 function listRoles (getFit: GetFit): RoleCost[] {
   const enginesPerInstance = SYSTEM_SIZE.runners / SYSTEM_SIZE.nodes
-  const reportIntervalSeconds = Math.max(0.25, (enginesPerInstance - ASSUMPTIONS.enginesAtFullReportRate) * ASSUMPTIONS.reportIntervalMsPerEngine / 1000)
+  const reportIntervalSeconds = Math.max(0.25, (enginesPerInstance - PARAMETERS.enginesAtFullReportRate) * PARAMETERS.reportIntervalMsPerEngine / 1000)
   const reportsPerSecond = enginesPerInstance / reportIntervalSeconds
-  const recipients = ASSUMPTIONS.itemsPerRunner * ASSUMPTIONS.subsetSize + 1
-  const updateBytes = getFit('reportBytes').intercept + getFit('cacheEventBytes').slope * ASSUMPTIONS.cacheBlocksPerReport
+  const recipients = PARAMETERS.itemsPerRunner * PARAMETERS.subsetSize + 1
+  const updateBytes = getFit('reportBytes').intercept + getFit('cacheEventBytes').slope * PARAMETERS.cacheBlocksPerReport
   const knownRunners = SYSTEM_SIZE.runners * recipients / SYSTEM_SIZE.nodes
   const changesPerSecond = SYSTEM_SIZE.changesPerDay / SECONDS_PER_DAY
   return [
@@ -86,7 +86,7 @@
       messages: `${format(reportsPerSecond)} reports/s in, each passed to ${recipients} peers`,
       cpuPercent: reportsPerSecond * recipients * getFit('reportCpu').slope / 1e4,
       megabytes: 0.5,
-      kilobytesPerSecond: reportsPerSecond * (ASSUMPTIONS.httpBytesPerReport + recipients * updateBytes) / 1024,
+      kilobytesPerSecond: reportsPerSecond * (PARAMETERS.httpBytesPerReport + recipients * updateBytes) / 1024,
       mechanism: 'rendezvous over instances; time between reports grows with the engines collected',
       slopes: 'reportBytes, cacheEventBytes, reportCpu',
     },
@@ -102,10 +102,10 @@
     },
     {
       role: 'replica and relay',
-      state: `${ASSUMPTIONS.objects} objects`,
+      state: `${PARAMETERS.objects} objects`,
       messages: `${format(changesPerSecond)} changes/s, to 4 neighbours`,
       cpuPercent: changesPerSecond * getFit('changeCpu').slope / 1e4,
-      megabytes: ASSUMPTIONS.objects * getFit('objectMemory').slope / 1024 ** 2,
+      megabytes: PARAMETERS.objects * getFit('objectMemory').slope / 1024 ** 2,
       kilobytesPerSecond: changesPerSecond * 4 * getFit('changeBytes').slope / 1024,
       mechanism: 'relay between neighbours, digests repair',
       slopes: 'objectMemory, changeCpu, changeBytes',
@@ -116,9 +116,9 @@
 
 /** Roles whose cost doesn't depend on engine reports or configuration changes. */
 function listControlRoles (getFit: GetFit): RoleCost[] {
-  const shards = SYSTEM_SIZE.runners / ASSUMPTIONS.shardAccelerators
+  const shards = SYSTEM_SIZE.runners / PARAMETERS.shardAccelerators
   const listEntries = SYSTEM_SIZE.runners + SYSTEM_SIZE.nodes
-  const listingsPerSecond = ASSUMPTIONS.listReaders / SYSTEM_SIZE.nodes / ASSUMPTIONS.listPollSeconds + 1 / ASSUMPTIONS.listRepairSeconds
+  const listingsPerSecond = PARAMETERS.listReaders / SYSTEM_SIZE.nodes / PARAMETERS.listPollSeconds + 1 / PARAMETERS.listRepairSeconds
   return [
     {
       role: 'membership links',
@@ -133,28 +133,28 @@
     {
       role: 'reader of the instance list',
       state: `${SYSTEM_SIZE.runners + SYSTEM_SIZE.nodes} entries`,
-      messages: `a listing each ${ASSUMPTIONS.listPollSeconds} s on ${ASSUMPTIONS.listReaders} instances; on average here`,
+      messages: `a listing each ${PARAMETERS.listPollSeconds} s on ${PARAMETERS.listReaders} instances; on average here`,
       cpuPercent: listingsPerSecond * listEntries * getFit('listCpu').slope / 1e4,
       megabytes: listEntries * 700 / 1024 ** 2,
-      kilobytesPerSecond: listingsPerSecond * listEntries * ASSUMPTIONS.listBytesPerEntry / 1024,
+      kilobytesPerSecond: listingsPerSecond * listEntries * PARAMETERS.listBytesPerEntry / 1024,
       mechanism: 'two readers by rendezvous relay what changed; the others read it when they start and once an hour',
       slopes: 'listCpu',
     },
     {
       role: 'claims owner',
-      state: `${format(ASSUMPTIONS.keyedRequestsPerSecond * ASSUMPTIONS.claimRetentionSeconds / 4)} claims on each of 4 owners`,
+      state: `${format(PARAMETERS.keyedRequestsPerSecond * PARAMETERS.claimRetentionSeconds / 4)} claims on each of 4 owners`,
       messages: 'group commits',
-      cpuPercent: 2 * ASSUMPTIONS.keyedRequestsPerSecond / 4 * getFit('claimCpu').slope / 1e4,
-      megabytes: ASSUMPTIONS.keyedRequestsPerSecond * ASSUMPTIONS.claimRetentionSeconds / 4 * getFit('claimMemory').slope / 1024 ** 2,
+      cpuPercent: 2 * PARAMETERS.keyedRequestsPerSecond / 4 * getFit('claimCpu').slope / 1e4,
+      megabytes: PARAMETERS.keyedRequestsPerSecond * PARAMETERS.claimRetentionSeconds / 4 * getFit('claimMemory').slope / 1024 ** 2,
       kilobytesPerSecond: 0,
       mechanism: 'claim shards; writes bounded over all shards',
       slopes: 'claimCpu, claimMemory',
     },
     {
       role: 'placement shard owner',
-      state: `${format(shards / SYSTEM_SIZE.nodes)} shards of ${ASSUMPTIONS.shardAccelerators}`,
+      state: `${format(shards / SYSTEM_SIZE.nodes)} shards of ${PARAMETERS.shardAccelerators}`,
       messages: 'one plan a second',
-      cpuPercent: shards / SYSTEM_SIZE.nodes * (getFit('planMs').intercept + getFit('planMs').slope * ASSUMPTIONS.shardAccelerators) / 10,
+      cpuPercent: shards / SYSTEM_SIZE.nodes * (getFit('planMs').intercept + getFit('planMs').slope * PARAMETERS.shardAccelerators) / 10,
       megabytes: 1,
       kilobytesPerSecond: shards / SYSTEM_SIZE.nodes * 100 * 450 / 60 / 1024,
       mechanism: 'shards with leases; engines are asked only when something is under way or differs',
@@ -200,7 +200,7 @@
 }
 
 function renderStore (): string {
-  const leaseWritesPerSecond = SYSTEM_SIZE.runners / ASSUMPTIONS.shardAccelerators / ASSUMPTIONS.leaseRenewalSeconds
+  const leaseWritesPerSecond = SYSTEM_SIZE.runners / PARAMETERS.shardAccelerators / PARAMETERS.leaseRenewalSeconds
   const claimWritesPerSecond = 43
   const changesPerSecond = SYSTEM_SIZE.changesPerDay / SECONDS_PER_DAY
   const writesPerSecond = leaseWritesPerSecond + claimWritesPerSecond + changesPerSecond
@@ -208,7 +208,7 @@
   const startsPerSecond = SYSTEM_SIZE.stopsPerDay / SECONDS_PER_DAY
   const callsPerSecond = watchers / 10 + startsPerSecond + leaseWritesPerSecond
   const rows = [
-    `| leases of placement shards | ${format(leaseWritesPerSecond)} | ${format(leaseWritesPerSecond)} | one write each ${ASSUMPTIONS.leaseRenewalSeconds} s and shard |`,
+    `| leases of placement shards | ${format(leaseWritesPerSecond)} | ${format(leaseWritesPerSecond)} | one write each ${PARAMETERS.leaseRenewalSeconds} s and shard |`,
     `| claims | ${claimWritesPerSecond} | 0.1 | bounded over all shards (bench claims) |`,
     `| configuration | ${format(changesPerSecond)} | ${format(watchers / 10 + changesPerSecond)} | two watchers in each region |`,
     `| starts and failures | 0 | ${format(startsPerSecond)} | a new instance is filled by peers, else by one listing |`,
--- a/tools/bench/src/capacity/slopes.ts
+++ b/tools/bench/src/capacity/slopes.ts
@@ -46,12 +46,12 @@
 
 async function measureHeap (build: () => unknown | Promise<unknown>): Promise<number> {
   collectGarbage()
-  const before = process.memoryUsage().heapUsed
+  const heapBefore = process.memoryUsage().heapUsed
   const retained = await build()
   collectGarbage()
-  const after = process.memoryUsage().heapUsed
+  const heapAfter = process.memoryUsage().heapUsed
   // Reading `retained` here keeps it from being garbage-collected before the measurement.
-  return retained === undefined ? 0 : after - before
+  return retained === undefined ? 0 : heapAfter - heapBefore
 }
 
 function collectGarbage (): void {
@@ -196,10 +196,10 @@
 }
 
 async function measureClaimCpu (count: number): Promise<number> {
-  const before = process.cpuUsage()
+  const cpuBefore = process.cpuUsage()
   await fillClaims(count)
-  const used = process.cpuUsage(before)
-  return used.user + used.system
+  const cpuUsed = process.cpuUsage(cpuBefore)
+  return cpuUsed.user + cpuUsed.system
 }
 
 function measureMicros (run: () => void): number {
--- a/tools/bench/src/entry/runEntry.ts
+++ b/tools/bench/src/entry/runEntry.ts
@@ -120,8 +120,8 @@
 async function measureClosed (load: BenchmarkWorker, target: { worker: BenchmarkWorker, opts: LoadOptions }, concurrency: number): Promise<ClosedLoopResult> {
   await load.request('sendLoad', { ...target.opts, concurrency, durationMs: 1_500 })
   if (showProfile) await printProfile(load, target, concurrency)
-  const before = await target.worker.request<number>('readCpu')
+  const cpuBefore = await target.worker.request<number>('readCpu')
   const result = await load.request<LoadResult>('sendLoad', { ...target.opts, concurrency })
-  const cpuSeconds = (await target.worker.request<number>('readCpu') - before) / 1e6
+  const cpuSeconds = (await target.worker.request<number>('readCpu') - cpuBefore) / 1e6
   return { requestsPerCore: (result.requests - result.failed) / cpuSeconds, latencies: result.latencies, failed: result.failed }
 }
--- a/tools/bench/src/main.ts
+++ b/tools/bench/src/main.ts
@@ -7,5 +7,5 @@
   await runBenchmark(args)
   process.exit(0)
 }
-console.error(`no benchmark "${name}"; there are: ${Object.keys(benchmarks).join(', ')}`)
+console.error(`unknown benchmark "${name}"; available: ${Object.keys(benchmarks).join(', ')}`)
 process.exit(2)
--- a/tools/scripts/write-capacity.mts
+++ b/tools/scripts/write-capacity.mts
@@ -7,16 +7,16 @@
 const MEASUREMENTS_FILE = 'docs/capacity/measured.json'
 
 function replaceSection (text: string, name: string, table: string): string {
-  const begin = `<!-- ${name} -->`
-  const end = `<!-- end of ${name} -->`
-  const from = text.indexOf(begin)
-  const to = text.indexOf(end)
-  if (from < 0 || to < 0) throw new Error(`${PAGE} has no section markers for ${name}`)
-  return `${text.slice(0, from + begin.length)}\n${table}\n${text.slice(to)}`
+  const beginMarker = `<!-- ${name} -->`
+  const endMarker = `<!-- end of ${name} -->`
+  const beginAt = text.indexOf(beginMarker)
+  const endAt = text.indexOf(endMarker)
+  if (beginAt < 0 || endAt < 0) throw new Error(`${PAGE} has no section markers for ${name}`)
+  return `${text.slice(0, beginAt + beginMarker.length)}\n${table}\n${text.slice(endAt)}`
 }
 
-const measured = JSON.parse(fs.readFileSync(MEASUREMENTS_FILE, 'utf8')) as Measurements
+const measurements = JSON.parse(fs.readFileSync(MEASUREMENTS_FILE, 'utf8')) as Measurements
 const current = fs.readFileSync(PAGE, 'utf8')
-const written = replaceSection(replaceSection(current, 'slopes', renderSlopeTable(measured)), 'budget', renderBudgetTable(measured))
+const written = replaceSection(replaceSection(current, 'slopes', renderSlopeTable(measurements)), 'budget', renderBudgetTable(measurements))
 if (process.argv.includes('--check')) process.exit(written === current ? 0 : 1)
 fs.writeFileSync(PAGE, written)
