--- a/gateway/routed/src/BackendQueue.ts
+++ b/gateway/routed/src/BackendQueue.ts
@@ -30,11 +30,11 @@
   candidate: Candidate
   resolve: (slot: BackendSlot) => void
   reject: (error: PulleystackError) => void
-  /** Monotone time in milliseconds. */
+  /** Monotonic time in milliseconds. */
   nextWeightsRequestAt: number
   /** Latest answer of the model placement; undefined before the first. */
   weightsAnswer: WeightsAnswer | undefined
-  /** Monotone time of that answer in milliseconds. */
+  /** Monotonic time of that answer in milliseconds. */
   weightsAnsweredAt: number
   lastFailure: ChoiceFailure
   isLimitLogged: boolean
@@ -58,7 +58,7 @@
   private isClosed = false
   private readonly forecast: SlotForecast
   private readonly permitDemand: PermitDemand
-  /** Next scheduled pass over the queue, with its monotone time in milliseconds. */
+  /** Next scheduled pass over the queue, with its monotonic time in milliseconds. */
   private nextPass: { at: number, cancel: () => void } | undefined
 
   constructor (private readonly opts: BackendQueueOptions) {
--- a/gateway/routed/src/InstanceRelay.ts
+++ b/gateway/routed/src/InstanceRelay.ts
@@ -32,7 +32,7 @@
   /** Alternating names and values as sent by the client. */
   rawHeaders: readonly string[]
   body: Buffer | undefined
-  /** Monotone time in milliseconds after which the client no longer waits; undefined if it set none. */
+  /** Monotonic time in milliseconds after which the client no longer waits; undefined if it set none. */
   deadline: number | undefined
   signal: AbortSignal
 }
--- a/gateway/routed/src/RoutedGateway.ts
+++ b/gateway/routed/src/RoutedGateway.ts
@@ -124,7 +124,7 @@
   }
 
   /**
-   * Serves one request until its response has been flushed or its connection has closed; never rejects. `arrivedAt` is the monotone time in
+   * Serves one request until its response has been flushed or its connection has closed; never rejects. `arrivedAt` is the monotonic time in
    * milliseconds at which its head arrived.
    */
   async handle (request: http.IncomingMessage, response: http.ServerResponse, arrivedAt = this.opts.clock.readTime()): Promise<void> {
--- a/gateway/routed/src/RoutedWork.ts
+++ b/gateway/routed/src/RoutedWork.ts
@@ -25,11 +25,11 @@
   path: string
   rawHeaders: readonly string[]
   body: Buffer | undefined
-  /** Monotone time in milliseconds, as is `deadline`. */
+  /** Monotonic time in milliseconds, as is `deadline`. */
   arrivedAt: number
   deadline: number
   generation: GenerationDemand | undefined
-  /** Estimated monotone time of the client's first try; `arrivedAt` unless the request was retried by the client. */
+  /** Estimated monotonic time of the client's first try; `arrivedAt` unless the request was retried by the client. */
   firstTriedAt: number
   /** Ids of servers that failed this request. */
   excluded: Set<string>
--- a/gateway/routed/src/SlotForecast.ts
+++ b/gateway/routed/src/SlotForecast.ts
@@ -34,7 +34,7 @@
   /** In milliseconds. */
   private readonly prefillMeans = new RecentMean()
   private readonly arrivalRates: RecentRate
-  /** Slots held by this instance with the monotone times of their acquisition, by server. */
+  /** Slots held by this instance with the monotonic times of their acquisition, by server. */
   private readonly ownSlots = new Map<string, Set<{ at: number }>>()
 
   constructor (private readonly opts: { clock: Clock, fleet: BackendFleet }) {
--- a/gateway/routed/src/SuspectGate.ts
+++ b/gateway/routed/src/SuspectGate.ts
@@ -27,7 +27,7 @@
   backend: Backend
   run: SuspectRun
   send: number
-  /** Monotone time in milliseconds. */
+  /** Monotonic time in milliseconds. */
   sentAt: number
 }
 
--- a/gateway/routed/src/relayStream.ts
+++ b/gateway/routed/src/relayStream.ts
@@ -8,7 +8,7 @@
   /** Id of the newest event that the client has received. */
   lastEventId: string | undefined
   events: number
-  /** Monotone times of the first and the newest event, in milliseconds; undefined before the first. */
+  /** Monotonic times of the first and the newest event, in milliseconds; undefined before the first. */
   firstAt: number | undefined
   newestAt: number | undefined
   /** Longest pause between two events, in milliseconds. */
--- a/placement/residency/src/OutageGrants.ts
+++ b/placement/residency/src/OutageGrants.ts
@@ -28,7 +28,7 @@
  * for a fifth of `minHandoverGapMs` from its request; the instance that gave it doesn't acquire the lease until `minHandoverGapMs` after the grant has expired.
  */
 export class OutageGrants {
-  /** Monotone time at which the latest grant of each instance was requested. */
+  /** Monotonic time at which the latest grant of each instance was requested. */
   private readonly grantRequestedAt = new Map<string, number>()
   private promisedUntil = -Infinity
   private contradictedAt = -Infinity
--- a/placement/residency/src/ResidencyHolder.ts
+++ b/placement/residency/src/ResidencyHolder.ts
@@ -25,7 +25,7 @@
   private readonly demandByService = new Map<string, DemandTracker>()
   private readonly bucketByService = new Map<string, LoadBucket>()
   private readonly loads: ServerLoads
-  /** Monotone time at which each adapter that is being loaded is expected to be ready. */
+  /** Monotonic time at which each adapter that is being loaded is expected to be ready. */
   private readonly adapterReadyAt = new Map<string, number>()
 
   private nextPlanAt = -Infinity
--- a/placement/residency/src/ResidencyService.ts
+++ b/placement/residency/src/ResidencyService.ts
@@ -87,7 +87,7 @@
   private stopping = false
   private renewing = false
   private hasOrdered = false
-  /** Monotone time at which the store was last seen to be lost. */
+  /** Monotonic time at which the store was last seen to be lost. */
   private lastOutageAt = -Infinity
   private handover: (Handover & { from: string, at: number }) | undefined
   private readonly lastRunAt = new Map<Task, number>()
--- a/placement/residency/src/ServerLoads.ts
+++ b/placement/residency/src/ServerLoads.ts
@@ -22,7 +22,7 @@
 /** Ranks servers with pending orders behind idle ones when an adapter is placed. */
 const BUSY_PENALTY = 1_000
 
-/** Monotone times before which servers get no orders, because of orders from an earlier holder. */
+/** Monotonic times before which servers get no orders, because of orders from an earlier holder. */
 export interface HoldOff {
   notBefore: number
   byBackend: ReadonlyMap<string, number>
@@ -58,9 +58,9 @@
 export class ServerLoads {
   private readonly orders = new Map<string, ServerOrders>()
   private readonly running = new Map<string, RunningLoad>()
-  /** Monotone times at which models were loaded, by server and model. */
+  /** Monotonic times at which models were loaded, by server and model. */
   private readonly loadedAt = new Map<string, Map<string, number>>()
-  /** Monotone time until which a server gets no loads, by server. */
+  /** Monotonic time until which a server gets no loads, by server. */
   private readonly backoffUntil = new Map<string, number>()
   private holdOff: HoldOff = { notBefore: -Infinity, byBackend: new Map() }
 
--- a/placement/residency/src/ServerOrders.ts
+++ b/placement/residency/src/ServerOrders.ts
@@ -36,7 +36,7 @@
   address: string
   /** Undefined while this instance may not send orders. */
   readPermit: () => OrderPermit | undefined
-  /** Monotone time before which no order is sent, because of an earlier holder's recent orders. */
+  /** Monotonic time before which no order is sent, because of an earlier holder's recent orders. */
   notBefore: number
 }
 
@@ -52,7 +52,7 @@
 
   constructor (private readonly opts: ServerOrdersOptions) {}
 
-  /** Monotone time at which the latest order was sent. */
+  /** Monotonic time at which the latest order was sent. */
   get newestOrderAt (): number {
     return this.lastSentAt
   }
--- a/placement/residency/test/OutageGrants.test.ts
+++ b/placement/residency/test/OutageGrants.test.ts
@@ -9,7 +9,7 @@
 
 interface Node {
   grants: OutageGrants
-  /** Monotone time at which the store was lost; undefined while it responds. */
+  /** Monotonic time at which the store was lost; undefined while it responds. */
   storeLostSince: number | undefined
 }
 
--- a/placement/residency/test/ResidencyService.test.ts
+++ b/placement/residency/test/ResidencyService.test.ts
@@ -29,7 +29,7 @@
 /** One instance's view of the shared store, which can stop responding or fail every operation. */
 class FailingStore extends MemoryObjectStore {
   isUnresponsive = false
-  /** Monotone time since which all operations fail; undefined while they succeed. */
+  /** Monotonic time since which all operations fail; undefined while they succeed. */
   unavailableSince: number | undefined
 
   constructor (private readonly shared: MemoryObjectStore) {
--- a/placement/residency/test/loadAdapter.test.ts
+++ b/placement/residency/test/loadAdapter.test.ts
@@ -23,7 +23,7 @@
   readonly adapters = new Set(['a1', 'a2'])
   private sequence = 0
   overcommitted = false
-  /** Monotone time until which requests use the adapters. */
+  /** Monotonic time until which requests use the adapters. */
   inUseUntil = 0
 
   constructor (private readonly clock: ManualClock) {
