--- a/backend/http/test/DefaultRoutedProtocol.test.ts
+++ b/backend/http/test/DefaultRoutedProtocol.test.ts
@@ -15,8 +15,8 @@
   })
 
   it('reports an invalid Retry-After header, truncated', () => {
-    const { serverStatus: statement } = PROTOCOL.readResponse(503, { 'retry-after': 'x'.repeat(1_000) })
-    assert.equal(statement?.retryAfterMs, undefined)
-    assert.match(statement?.invalidHeader ?? '', /^retry-after: x{64}$/)
+    const { serverStatus } = PROTOCOL.readResponse(503, { 'retry-after': 'x'.repeat(1_000) })
+    assert.equal(serverStatus?.retryAfterMs, undefined)
+    assert.match(serverStatus?.invalidHeader ?? '', /^retry-after: x{64}$/)
   })
 })
