--- a/backend/interfaces/src/StoreEpochs.ts
+++ b/backend/interfaces/src/StoreEpochs.ts
@@ -1,13 +1,13 @@
 import { Subject, type Observable } from 'rxjs'
 
 /** A store that is restored from a snapshot contains all writes made longer than this before the restore. */
-export const LONGEST_LOSS_MS = 60_000
+export const MAX_RESTORE_LOSS_MS = 60_000
 
 /** A store has entered a newer epoch. */
 export interface EpochChange {
   epoch: number
   /** Newest epoch seen before; undefined for the first one. If set, the store was restored from a snapshot and lost the writes acknowledged since. */
-  former: number | undefined
+  previous: number | undefined
 }
 
 /** Tracks the epochs of a store that this process has seen. */
@@ -26,10 +26,10 @@
   }
 
   /** Records the epoch of a response or a version. Older epochs are ignored. */
-  note (epoch: number): void {
-    const former = this.newestSeen
-    if (former !== undefined && epoch <= former) return
+  record (epoch: number): void {
+    const previous = this.newestSeen
+    if (previous !== undefined && epoch <= previous) return
     this.newestSeen = epoch
-    this.subject.next({ epoch, former })
+    this.subject.next({ epoch, previous })
   }
 }
--- a/gateway/routed/test/BackendQueue.test.ts
+++ b/gateway/routed/test/BackendQueue.test.ts
@@ -3,9 +3,9 @@
 import { DEFAULT_POLICY } from '@pulleystack/config.settings'
 import { ManualClock, RandomSource } from '@pulleystack/core.clock'
 import { PulleystackError, Ran } from '@pulleystack/core.errors'
-import type { NeedAnswer, ResidencyClient } from '@pulleystack/placement.residency'
+import type { WeightsAnswer, ResidencyClient } from '@pulleystack/placement.residency'
 import { BackendFleet, type Backend, type BackendEntry } from '@pulleystack/routing.fleet'
-import { SilentDecisionLog } from '@pulleystack/timeline.decisions'
+import { NullDecisionLog } from '@pulleystack/timeline.decisions'
 import { BackendSlot, BackendQueue } from '../src/index.js'
 import { createStreamProgress } from '../src/relayStream.js'
 import type { RoutedWork } from '../src/RoutedWork.js'
@@ -32,7 +32,7 @@
 describe('BackendQueue', () => {
   let queue: BackendQueue
   let clock: ManualClock
-  let weightsAnswer: NeedAnswer
+  let weightsAnswer: WeightsAnswer
   let fleet: BackendFleet
 
   beforeEach(() => {
@@ -42,9 +42,9 @@
     fleet.replaceAll([createEntry('a'), createEntry('b')])
     const residency = {
       requestWeights: () => Promise.resolve(weightsAnswer),
-      noteEnded: () => undefined,
+      recordEnded: () => undefined,
     } as unknown as ResidencyClient
-    queue = new BackendQueue({ clock, random: new RandomSource(1), fleet, residency, log: new SilentDecisionLog(), dataHall: 'z', policy: DEFAULT_POLICY })
+    queue = new BackendQueue({ clock, random: new RandomSource(1), fleet, residency, log: new NullDecisionLog(), dataHall: 'z', policy: DEFAULT_POLICY })
   })
 
   describe('looking for a slot elsewhere', () => {
@@ -118,11 +118,11 @@
   })
 
   describe('while all servers that hold the weights are paused', () => {
-    const pauseServers = (ms: number): void => fleet.listAll().forEach((backend) => void fleet.noteRetryAfter(backend, ms, clock.readTime()))
+    const pauseServers = (ms: number): void => fleet.listAll().forEach((backend) => void fleet.recordRetryAfter(backend, ms, clock.readTime()))
 
     it('waits until the pause of the first server ends', async () => {
       pauseServers(2_000)
-      fleet.noteRetryAfter(fleet.find('b') as Backend, 3_000, clock.readTime())
+      fleet.recordRetryAfter(fleet.find('b') as Backend, 3_000, clock.readTime())
       const waiting = queue.acquire(createWork('held'))
       await clock.advance(1_990)
       assert.equal(queue.size, 1)
@@ -146,10 +146,10 @@
       for (let at = 0; at < 8; at++) void queue.acquire(createWork('held')).then((slot) => slots.push(slot))
       await clock.advance(1_100)
       assert.equal(slots.length, 1)
-      slots[0]?.noteAnswered()
+      slots[0]?.recordResponse()
       await clock.advance(1)
       assert.equal(slots.length, 3)
-      slots.forEach((slot) => slot.noteAnswered())
+      slots.forEach((slot) => slot.recordResponse())
       await clock.advance(1)
       assert.equal(slots.length, 7)
     })
@@ -174,12 +174,12 @@
         hasSlot = true
       })
       await clock.advance(10)
-      fleet.waiting.takeOther('other', [['s|held', 1]])
+      fleet.waiting.applyPeerCounts('other', [['s|held', 1]])
       slots[0]?.release()
       await clock.advance(10)
       assert.equal(hasSlot, false)
-      fleet.waiting.takeOther('other', [])
-      queue.pump()
+      fleet.waiting.applyPeerCounts('other', [])
+      queue.assignSlots()
       await clock.advance(10)
       assert.equal(hasSlot, true)
     })
@@ -197,7 +197,7 @@
 
     it('does not let a request yield that can still meet its target', async () => {
       const slots = await fillServers()
-      fleet.waiting.takeOther('other', [['s|held', 1]])
+      fleet.waiting.applyPeerCounts('other', [['s|held', 1]])
       const waiting = queue.acquire(createWork('held'))
       await clock.advance(10)
       slots[0]?.release()
--- a/membership/view/src/startMembership.ts
+++ b/membership/view/src/startMembership.ts
@@ -1,5 +1,5 @@
 import type { Clock } from '@pulleystack/core.clock'
-import { listRanked } from '@pulleystack/core.hashing'
+import { rankMembers } from '@pulleystack/core.hashing'
 import { defineChannel, type PeerNetwork } from '@pulleystack/membership.peers'
 import type { InstanceList } from '@pulleystack/backend.interfaces'
 import { EventKinds, type EventRing } from '@pulleystack/timeline.events'
@@ -46,9 +46,9 @@
   const { view, network } = opts
   const subscriptions = [
     network.peerEvents.subscribe((event) => {
-      if (event.kind === 'heard') view.noteHeard(event.identity)
+      if (event.kind === 'heard') view.recordHeard(event.identity)
       // A closed link is not reopened; its peer is monitored by others.
-      else if (event.kind === 'silent') view.noteSilent(event.instance)
+      else if (event.kind === 'silent') view.recordSilent(event.instance)
     }),
     network.receive(RUMOURS).subscribe(({ from, body }) => {
       if (view.applyRumour(body)) network.broadcast(RUMOURS, body, from)
@@ -75,7 +75,7 @@
   const { view } = membership
   const eligible = view.listEligible()
   if (eligible.length <= SMALL_SYSTEM_INSTANCES || membership.copy.size === 0) return true
-  const readers = listRanked('list-reader', eligible, (member) => member.instance).slice(0, READER_COUNT)
+  const readers = rankMembers('list-reader', eligible, (member) => member.instance).slice(0, READER_COUNT)
   if (readers.some((reader) => reader.instance === view.self.instance)) return true
   return membership.clock.readTime() - membership.readAt > RESYNC_MS_PER_MEMBER * eligible.length
 }
--- a/placement/residency/src/LocalDemand.ts
+++ b/placement/residency/src/LocalDemand.ts
@@ -8,7 +8,7 @@
 export class LocalDemand {
   private readonly counts = new Map<string, DemandCount>()
   private readonly inFlight = new Map<string, { weights: RequestedWeights, count: number }>()
-  /** Monotone time up to which the lease holder has a report. */
+  /** Monotonic time up to which the lease holder has a report. */
   private reportedAt: number
 
   constructor (private readonly clock: Clock) {
--- a/placement/residency/src/ServerLoads.ts
+++ b/placement/residency/src/ServerLoads.ts
@@ -22,7 +22,7 @@
 /** Ranks servers with pending orders behind idle ones when an adapter is placed. */
 const BUSY_PENALTY = 1_000
 
-/** Monotone times before which servers get no orders, because of orders from an earlier holder. */
+/** Monotonic times before which servers get no orders, because of orders from an earlier holder. */
 export interface HoldOff {
   notBefore: number
   byBackend: ReadonlyMap<string, number>
@@ -45,7 +45,7 @@
   weights: WeightsClient
   log: DecisionLog
   /** Undefined while this instance may not send orders. */
-  readRight: () => OrderPermit | undefined
+  readPermit: () => OrderPermit | undefined
   onChange: (change: WeightsChange) => void
 }
 
@@ -58,9 +58,9 @@
 export class ServerLoads {
   private readonly orders = new Map<string, ServerOrders>()
   private readonly running = new Map<string, RunningLoad>()
-  /** Monotone times at which models were loaded, by server and model. */
+  /** Monotonic times at which models were loaded, by server and model. */
   private readonly loadedAt = new Map<string, Map<string, number>>()
-  /** Monotone time until which a server gets no loads, by server. */
+  /** Monotonic time until which a server gets no loads, by server. */
   private readonly backoffUntil = new Map<string, number>()
   private holdOff: HoldOff = { notBefore: -Infinity, byBackend: new Map() }
 
@@ -134,9 +134,9 @@
       onDisk: backend.entry.onDisk,
       ...load ? { loading: load.model } : {},
       busyMs: this.estimateBusyMs(backend.id),
-      limitPerSecond: backend.stated.limit.perSecond,
+      limitPerSecond: backend.reported.limit.perSecond,
       recentlyLoaded: loadedAt.filter(([, at]) => at > now - MIN_RESIDENCE_MS).map(([model]) => model),
-      holdOffMs: Math.max(backend.stated.backoff.readLeftMs(now), this.readHoldOff(backend.id) - now),
+      holdOffMs: Math.max(backend.reported.backoff.readRemainingMs(now), this.readHoldOff(backend.id) - now),
       running: backend.readLoad().running,
     }
   }
@@ -167,7 +167,7 @@
   /** Loads an adapter on the least busy server that has its model and hasn't requested a pause. */
   async ensureAdapter (it: AdapterRequest): Promise<void> {
     const now = this.opts.clock.readTime()
-    const available = it.servers.filter((server) => !server.stated.backoff.isActive(now))
+    const available = it.servers.filter((server) => !server.reported.backoff.isActive(now))
     const [backend] = available.sort((a, b) => this.rankForAdapter(a) - this.rankForAdapter(b))
     if (!backend) return
     const orders = this.findOrders(backend)
@@ -216,9 +216,9 @@
   private findOrders (backend: Backend): ServerOrders {
     const present = this.orders.get(backend.id)
     if (present) return present
-    const { clock, weights, log, readRight } = this.opts
+    const { clock, weights, log, readPermit } = this.opts
     const notBefore = this.readHoldOff(backend.id)
-    const created = new ServerOrders({ clock, weights, log, readRight, notBefore, backendId: backend.id, address: backend.entry.address })
+    const created = new ServerOrders({ clock, weights, log, readPermit, notBefore, backendId: backend.id, address: backend.entry.address })
     this.orders.set(backend.id, created)
     return created
   }
--- a/placement/residency/test/OutageGrants.test.ts
+++ b/placement/residency/test/OutageGrants.test.ts
@@ -9,7 +9,7 @@
 
 interface Node {
   grants: OutageGrants
-  /** Monotone time at which the store was lost; undefined while it responds. */
+  /** Monotonic time at which the store was lost; undefined while it responds. */
   storeLostSince: number | undefined
 }
 
@@ -19,16 +19,16 @@
   let holder: Node
   let other: Node
 
-  const createNode = (name: string, listOthers: () => string[]): Node => {
+  const createNode = (name: string, listOtherInstances: () => string[]): Node => {
     const node: Node = { grants: undefined as unknown as OutageGrants, storeLostSince: undefined }
     const readLostMs = (): number => node.storeLostSince === undefined ? 0 : clock.readTime() - node.storeLostSince
     node.grants = new OutageGrants({
       clock,
       network: hub.createNode({ instance: name, incarnation: 1, address: '', peerAddress: '', region: '', dataHall: '', leaving: false }),
-      listOthers,
+      listOtherInstances,
       readStoreLostMs: readLostMs,
-      readStoreAgeMs: readLostMs,
-      turnMs: TURN_MS,
+      readStoreSilenceMs: readLostMs,
+      minHandoverGapMs: TURN_MS,
       isEnabled: true,
     })
     node.grants.start()
@@ -50,7 +50,7 @@
     other = createNode('other', () => ['holder'])
   })
 
-  it('lets the holder continue for a fifth of turnMs unless the grant is renewed', async () => {
+  it('lets the holder continue for a fifth of minHandoverGapMs unless the grant is renewed', async () => {
     await loseStore(holder, other)
     assert.equal(holder.grants.isGrantedByAll, false)
     await requestGrants()
@@ -59,7 +59,7 @@
     assert.equal(holder.grants.isGrantedByAll, false)
   })
 
-  it('binds the granting instance for turnMs after the grant has expired', async () => {
+  it('binds the granting instance for minHandoverGapMs after the grant has expired', async () => {
     await loseStore(holder, other)
     await requestGrants()
     await clock.advance(GRANT_MS + TURN_MS - 20)
--- a/program/entry/src/DirectoryLog.ts
+++ b/program/entry/src/DirectoryLog.ts
@@ -6,7 +6,7 @@
 export class DirectoryLog {
   private advertised: ReadonlySet<string> = new Set()
 
-  constructor (private readonly log: DecisionLog, private readonly mesh: Pick<InstanceMesh, 'describeServing'>) {}
+  constructor (private readonly log: DecisionLog, private readonly mesh: Pick<InstanceMesh, 'countServingSources'>) {}
 
   update (identities: readonly PeerIdentity[]): void {
     const advertised = new Set(identities.map((identity) => identity.instance))
@@ -14,6 +14,6 @@
     const removed = [...this.advertised].filter((instance) => !advertised.has(instance))
     this.advertised = advertised
     if (added.length + removed.length === 0) return
-    this.log.record(DecisionKinds.DIRECTORY_CHANGED, { added, removed, ...this.mesh.describeServing() })
+    this.log.record(DecisionKinds.DIRECTORY_CHANGED, { added, removed, ...this.mesh.countServingSources() })
   }
 }
--- a/program/entry/src/EntryMetrics.ts
+++ b/program/entry/src/EntryMetrics.ts
@@ -14,7 +14,7 @@
 /** Sources of the metrics. */
 export interface EntryMetricsOptions {
   fleet: Pick<BackendFleet, 'listAll'>
-  mesh: Pick<InstanceMesh, 'listLive'>
+  mesh: Pick<InstanceMesh, 'listLinked'>
   network: Pick<WebSocketNetwork, 'backlogBytes' | 'unsentFrames'>
   epochs: Pick<StoreEpochs, 'newest' | 'changes'>
   readConfigVersion: () => number
@@ -55,7 +55,7 @@
   constructor (opts: EntryMetricsOptions) {
     this.addGauge('config_version', 'Version of the active routing configuration', opts.readConfigVersion)
     this.addGauge('backends', 'Known backend servers', () => opts.fleet.listAll().length)
-    this.addGauge('peers', 'Other instances with a live link', () => opts.mesh.listLive().length)
+    this.addGauge('peers', 'Other instances with a live link', () => opts.mesh.listLinked().length)
     this.addGauge('waiting_requests', 'Requests waiting for a slot', opts.countWaiting)
     this.addGauge('suspect_requests', 'Requests recorded as suspect since a server crashed while running them', opts.countSuspects)
     this.addGauge('peer_backlog_bytes', 'Bytes waiting to be sent to peers', () => opts.network.backlogBytes)
@@ -100,8 +100,8 @@
       help: 'Detected restores of the store from an older snapshot',
       registers: [this.registry],
     })
-    epochs.changes.subscribe(({ former }) => {
-      if (former !== undefined) restores.inc()
+    epochs.changes.subscribe(({ previous }) => {
+      if (previous !== undefined) restores.inc()
     })
   }
 
--- a/program/entry/src/StopPlan.ts
+++ b/program/entry/src/StopPlan.ts
@@ -39,7 +39,7 @@
   }
 
   /** Whether a request with this deadline may start; one that would be aborted at the end of the stop is rejected instead. */
-  mayBegin (now: number, deadline: number): boolean {
+  mayStart (now: number, deadline: number): boolean {
     if (now >= this.servesUntil) return false
     return now < this.startedAt + LONG_REQUEST_PERIOD_MS || deadline <= this.endsAt
   }
--- a/program/entry/src/describeMembership.ts
+++ b/program/entry/src/describeMembership.ts
@@ -1,11 +1,11 @@
 import { isServing, type InstanceMesh } from '@pulleystack/membership.mesh'
-import type { LimitsStanding } from '@pulleystack/routing.limits'
+import type { LimitsMembership } from '@pulleystack/routing.limits'
 
 /** Describes this instance and the others that share rates with it. */
-export function describeMembership (mesh: InstanceMesh): LimitsStanding {
+export function describeMembership (mesh: InstanceMesh): LimitsMembership {
   return {
     instance: mesh.self.instance,
-    countInstances: () => mesh.countKnown(),
+    countInstances: () => mesh.countRegistered(),
     isServing: () => isServing(mesh.self),
     listServing: () => listServing(mesh),
   }
@@ -13,5 +13,5 @@
 
 /** Lists the other serving instances with a live link. */
 export function listServing (mesh: InstanceMesh): string[] {
-  return mesh.listLive().filter(isServing).map((identity) => identity.instance)
+  return mesh.listLinked().filter(isServing).map((identity) => identity.instance)
 }
--- a/program/entry/src/startQueue.ts
+++ b/program/entry/src/startQueue.ts
@@ -21,7 +21,7 @@
 /** Starts the queue for slots at backend servers, and the permits of servers with a limit, which all instances share until the signal is aborted. */
 export function startQueue (parts: QueueParts, signal: AbortSignal): BackendQueue {
   const { settings, clock, random, log, policy, mesh, network, fleet, residency } = parts
-  const permits = new ServerPermits({ clock, random, network, fleet, standing: describeMembership(mesh), onChange: () => queue.pump() })
+  const permits = new ServerPermits({ clock, random, network, fleet, membership: describeMembership(mesh), onChange: () => queue.assignSlots() })
   const queue = new BackendQueue({ clock, random, fleet, permits, residency, log, dataHall: settings.dataHall, policy })
   permits.start(signal)
   return queue
--- a/program/entry/test/EntryMetrics.test.ts
+++ b/program/entry/test/EntryMetrics.test.ts
@@ -9,7 +9,7 @@
   const metrics = new EntryMetrics({
     epochs,
     fleet: { listAll: () => [] },
-    mesh: { listLive: () => [] },
+    mesh: { listLinked: () => [] },
     network: state,
     readConfigVersion: () => 7,
     countWaiting: () => 0,
@@ -39,7 +39,7 @@
   })
 
   it('include the epoch of the store and the number of its restores', async () => {
-    for (const epoch of [4, 5, 5, 7]) epochs.note(epoch)
+    for (const epoch of [4, 5, 5, 7]) epochs.record(epoch)
     const text = await metrics.render()
     assert.match(text, /^pulleystack_store_epoch 7$/m)
     assert.match(text, /^pulleystack_store_restores_total 2$/m)
--- a/program/entry/test/StopPlan.test.ts
+++ b/program/entry/test/StopPlan.test.ts
@@ -9,17 +9,17 @@
 
   describe('for requests that may outlast the grace period', () => {
     it('starts them while clients use old address lists', () => {
-      assert.equal(plan.mayBegin(STARTED_AT + 2_700, STARTED_AT + 17_700), true)
+      assert.equal(plan.mayStart(STARTED_AT + 2_700, STARTED_AT + 17_700), true)
     })
 
     it('rejects them later, since they would be aborted', () => {
-      assert.equal(plan.mayBegin(STARTED_AT + 3_100, STARTED_AT + 18_100), false)
+      assert.equal(plan.mayStart(STARTED_AT + 3_100, STARTED_AT + 18_100), false)
     })
   })
 
   it('starts short requests as long as old address lists may be used', () => {
-    assert.equal(plan.mayBegin(STARTED_AT + 4_400, STARTED_AT + 5_400), true)
-    assert.equal(plan.mayBegin(STARTED_AT + 4_600, STARTED_AT + 5_600), false)
+    assert.equal(plan.mayStart(STARTED_AT + 4_400, STARTED_AT + 5_400), true)
+    assert.equal(plan.mayStart(STARTED_AT + 4_600, STARTED_AT + 5_600), false)
   })
 
   it('ends before the grace period', () => {
--- a/program/instance/src/createGateways.ts
+++ b/program/instance/src/createGateways.ts
@@ -28,7 +28,7 @@
     ...core,
     ...routing,
     meter: control.meter,
-    rates: new RateLimiter(),
+    rateLimiter: new RateLimiter(),
     maxBodyBytes: settings.limits.bodyBytes,
     lifetimeSeconds: settings.directory.lifetimeSeconds,
     leastInstances: settings.directory.leastInstances,
@@ -77,7 +77,7 @@
 ): Promise<Explanation> {
   const { partner, caller, target } = request
   const localExplanation = explainLocally(partner, caller, target)
-  const subset = callers.listSubset(partner, localExplanation.service)
+  const subset = callers.listServingInstances(partner, localExplanation.service)
   const servingInstance = subset[0]
   if (!servingInstance || subset.some((member) => member.instance === core.settings.instance)) return localExplanation
   const answer = await core.network.call(servingInstance.instance, EXPLAIN, request, EXPLAIN_TIMEOUT_MS)
