--- a/program/cli/src/AdminClient.ts
+++ b/program/cli/src/AdminClient.ts
@@ -5,18 +5,18 @@
 import { PulleystackError, parseErrorBody } from '@pulleystack/core.errors'
 import type { CommandContext } from './Command.js'
 
-const TIMEOUT_MS = 10_000
+const REQUEST_TIMEOUT_MS = 10_000
 const DEFAULT_ADDRESS = '127.0.0.1:7080'
 
-/** Options of every command that talks to the system. */
+/** Options of every command that connects to the admin API. */
 export interface ConnectionOptions {
-  /** One address or several, tried in turn. */
+  /** Comma-separated list of addresses, tried in turn. */
   address?: string
   key?: string
   tls?: boolean
 }
 
-/** Talks to the operators' interface of whichever instance answers. */
+/** Client of the admin API; sends each request to the first address that responds. */
 export class AdminClient {
   private readonly addresses: string[]
   private readonly key: string
@@ -24,7 +24,7 @@
   constructor (context: CommandContext, private readonly opts: ConnectionOptions) {
     this.addresses = (opts.address ?? context.environment.PULLEYSTACK_ADDRESS ?? DEFAULT_ADDRESS).split(',')
     this.key = opts.key ?? context.environment.PULLEYSTACK_KEY ?? ''
-    if (this.key === '') throw new PulleystackError('USAGE', 'No operator key was given', { hint: 'Use --key or set PULLEYSTACK_KEY.' })
+    if (this.key === '') throw new PulleystackError('USAGE', 'No operator key specified', { hint: 'Use --key or set PULLEYSTACK_KEY.' })
   }
 
   get (path: string, params: Record<string, string | undefined> = {}): Promise<unknown> {
@@ -40,36 +40,36 @@
   }
 
   private async send (method: string, path: string, params: Record<string, string | undefined>, body?: string): Promise<unknown> {
-    let last: PulleystackError | undefined
+    let lastError: PulleystackError | undefined
     for (const address of this.addresses) {
-      const answer = await this.sendTo(address, method, `${path}?${renderParams(params)}`, body).catch((cause: Error) => {
-        last = new PulleystackError('INSTANCE_UNREACHABLE', `${address} does not answer: ${cause.message}`, { hint: 'Give other addresses with --address.' })
+      const response = await this.sendTo(address, method, `${path}?${renderParams(params)}`, body).catch((cause: Error) => {
+        lastError = new PulleystackError('INSTANCE_UNREACHABLE', `${address} did not respond: ${cause.message}`, { hint: 'Use --address to try other addresses.' })
       })
-      if (!answer) continue
-      if (answer.status === 200) return answer.value
-      throw parseErrorBody(answer.value) ?? new PulleystackError('INSTANCE_UNREACHABLE', `${address} answered with status ${answer.status}`)
+      if (!response) continue
+      if (response.status === 200) return response.value
+      throw parseErrorBody(response.value) ?? new PulleystackError('INSTANCE_UNREACHABLE', `${address} responded with status ${response.status}`)
     }
-    throw last ?? new PulleystackError('USAGE', 'No address was given')
+    throw lastError ?? new PulleystackError('USAGE', 'No address specified')
   }
 
   private sendTo (address: string, method: string, path: string, body: string | undefined): Promise<{ status: number, value: unknown }> {
     const headers: http.OutgoingHttpHeaders = { 'authorization': `Bearer ${this.key}`, 'content-type': 'application/json' }
-    const target = { ...parseAddress(address), method, path, headers, timeout: TIMEOUT_MS, agent: false }
+    const target = { ...parseAddress(address), method, path, headers, timeout: REQUEST_TIMEOUT_MS, agent: false }
     return new Promise((resolve, reject) => {
       const request = this.opts.tls ? https.request(target) : http.request(target)
       request.on('error', reject)
       request.on('timeout', () => request.destroy(new Error('timed out')))
-      request.on('response', (response) => void readAnswer(response).then(resolve, reject))
+      request.on('response', (response) => void readResponse(response).then(resolve, reject))
       request.end(body)
     })
   }
 }
 
 function renderParams (params: Record<string, string | undefined>): string {
-  const given = Object.entries(params).filter((it): it is [string, string] => it[1] !== undefined)
-  return new URLSearchParams(given).toString()
+  const defined = Object.entries(params).filter((it): it is [string, string] => it[1] !== undefined)
+  return new URLSearchParams(defined).toString()
 }
 
-async function readAnswer (response: http.IncomingMessage): Promise<{ status: number, value: unknown }> {
+async function readResponse (response: http.IncomingMessage): Promise<{ status: number, value: unknown }> {
   return { status: response.statusCode ?? 0, value: JSON.parse(await text(response) || 'null') as unknown }
 }
--- a/program/instance/src/createGateways.ts
+++ b/program/instance/src/createGateways.ts
@@ -6,7 +6,7 @@
 import { RateLimiter } from '@pulleystack/routing.limiter'
 import { collectTimeline } from '@pulleystack/timeline.merge'
 import type { Control } from './createControl.js'
-import { createRouted, type Routed } from './createRouted.js'
+import { createRoutedRequests, type RoutedRequests } from './createRoutedRequests.js'
 import type { Routing } from './createRouting.js'
 import type { Core } from './startInstance.js'
 
@@ -15,11 +15,11 @@
 const EXPLAIN = defineChannel<{ partner: string, caller: string, target: ExplainTarget }, Explanation>('gateway.explain')
 const EXPLAIN_TIMEOUT_MS = 2_000
 
-/** The two interfaces that people and programs use. */
+/** Gateways for callers, operators and routed requests. */
 export interface Gateways {
   callers: CallerGateway
   admin: AdminGateway
-  routed: Routed
+  routed: RoutedRequests
 }
 
 export function createGateways (core: Core, routing: Routing, control: Control): Gateways {
@@ -34,9 +34,10 @@
     leastInstances: settings.directory.leastInstances,
     onFinished: (finished) => core.metrics.countRequest(finished),
   })
-  const explainHere = (partner: string, caller: string, target: ExplainTarget): Explanation => explainRequest({ ...core, ...routing }, partner, caller, target)
-  core.network.handleCalls(EXPLAIN, (_, body) => explainHere(body.partner, body.caller, body.target))
-  const routed = createRouted(core, routing)
+  const explainLocally = (partner: string, caller: string, target: ExplainTarget): Explanation =>
+    explainRequest({ ...core, ...routing }, partner, caller, target)
+  core.network.handleCalls(EXPLAIN, (_, body) => explainLocally(body.partner, body.caller, body.target))
+  const routed = createRoutedRequests(core, routing)
   const admin = new AdminGateway({
     ...core,
     operators: settings.operators,
@@ -44,7 +45,7 @@
     maxBodyBytes: settings.limits.bodyBytes,
     collectTimeline: (filter) => collectTimeline({ ...core, peers: listPeers(core) }, filter),
     collectStatus: () => control.collectStatus(),
-    explain: (partner, caller, target) => explainAnywhere(core, callers, explainHere, { partner, caller, target }),
+    explain: (partner, caller, target) => explainOnServingInstance(core, callers, explainLocally, { partner, caller, target }),
     explainRoute: routed.explain,
   })
   return { callers, admin, routed }
@@ -67,19 +68,19 @@
   return core.view.listMembers().filter((member) => member.instance !== core.settings.instance).map((member) => member.instance)
 }
 
-/** Asks an instance that serves the service, since only it knows the servers' state. */
-async function explainAnywhere (
+/** Calls an instance that serves the service, since only those have the servers' state. */
+async function explainOnServingInstance (
   core: Core,
   callers: CallerGateway,
-  explainHere: (partner: string, caller: string, target: ExplainTarget) => Explanation,
+  explainLocally: (partner: string, caller: string, target: ExplainTarget) => Explanation,
   request: { partner: string, caller: string, target: ExplainTarget },
 ): Promise<Explanation> {
   const { partner, caller, target } = request
-  const here = explainHere(partner, caller, target)
-  const subset = callers.listSubset(partner, here.service)
-  const first = subset[0]
-  if (!first || subset.some((member) => member.instance === core.settings.instance)) return here
-  const answer = await core.network.call(first.instance, EXPLAIN, request, EXPLAIN_TIMEOUT_MS)
+  const localExplanation = explainLocally(partner, caller, target)
+  const subset = callers.listSubset(partner, localExplanation.service)
+  const servingInstance = subset[0]
+  if (!servingInstance || subset.some((member) => member.instance === core.settings.instance)) return localExplanation
+  const answer = await core.network.call(servingInstance.instance, EXPLAIN, request, EXPLAIN_TIMEOUT_MS)
   if (answer.isOk()) return answer.value
-  throw new PulleystackError('INSTANCE_UNREACHABLE', `${first.instance} serves this and does not answer`, { cause: answer.error })
+  throw new PulleystackError('INSTANCE_UNREACHABLE', `Instance ${servingInstance.instance}, which serves this service, did not respond`, { cause: answer.error })
 }
