--- a/gateway/admin/src/explainRoute.ts
+++ b/gateway/admin/src/explainRoute.ts
@@ -70,7 +70,7 @@
 function describeState (backend: Backend, running: number, now: number): string {
   if (backend.entry.draining) return 'is draining'
   if (!backend.isReachable(now)) return 'is skipped for a while after a failed connection'
-  if (backend.stated.backoff.isActive(now)) return 'is in a backoff that it requested'
+  if (backend.reported.backoff.isActive(now)) return 'is in a backoff that it requested'
   if (backend.outlier.isEjected(now)) return 'is temporarily ejected after too many failures'
   return running < backend.entry.slots ? 'can take it now' : 'has no free slot'
 }
--- a/gateway/routed/src/BackendQueue.ts
+++ b/gateway/routed/src/BackendQueue.ts
@@ -1,8 +1,8 @@
 import type { Policy } from '@pulleystack/config.settings'
 import type { Clock, RandomSource } from '@pulleystack/core.clock'
 import { PulleystackError, Ran } from '@pulleystack/core.errors'
-import { estimateLoadMs, type NeedAnswer, type ResidencyClient } from '@pulleystack/placement.residency'
-import { compareUrgency, isInTime, judgeWait, type Candidate, type WaitEstimate } from '@pulleystack/routing.admission'
+import { estimateLoadMs, type WeightsAnswer, type ResidencyClient } from '@pulleystack/placement.residency'
+import { compareUrgency, isWithinTarget, judgeWait, type Candidate, type WaitEstimate } from '@pulleystack/routing.admission'
 import { ChoiceFailures, PREFILL_TOKENS_PER_MS, chooseBackend, nameWeights, type Backend, type BackendChoice, type BackendFleet, type ChoiceFailure } from '@pulleystack/routing.fleet'
 import type { ServerPermits } from '@pulleystack/routing.permits'
 import { DecisionKinds, type DecisionLog } from '@pulleystack/timeline.decisions'
@@ -30,11 +30,11 @@
   candidate: Candidate
   resolve: (slot: BackendSlot) => void
   reject: (error: PulleystackError) => void
-  /** Monotone time in milliseconds. */
+  /** Monotonic time in milliseconds. */
   nextWeightsRequestAt: number
   /** Latest answer of the model placement; undefined before the first. */
-  weightsAnswer: NeedAnswer | undefined
-  /** Monotone time of that answer in milliseconds. */
+  weightsAnswer: WeightsAnswer | undefined
+  /** Monotonic time of that answer in milliseconds. */
   weightsAnsweredAt: number
   lastFailure: ChoiceFailure
   isLimitLogged: boolean
@@ -45,7 +45,7 @@
   random: RandomSource
   fleet: BackendFleet
   /** Undefined where servers announce no rate limits. */
-  permits?: Pick<ServerPermits, 'request' | 'giveBack'>
+  permits?: Pick<ServerPermits, 'request' | 'release'>
   residency: ResidencyClient
   log: DecisionLog
   dataHall: string
@@ -58,13 +58,13 @@
   private isClosed = false
   private readonly forecast: SlotForecast
   private readonly permitDemand: PermitDemand
-  /** Next scheduled pass over the queue, with its monotone time in milliseconds. */
+  /** Next scheduled pass over the queue, with its monotonic time in milliseconds. */
   private nextPass: { at: number, cancel: () => void } | undefined
 
   constructor (private readonly opts: BackendQueueOptions) {
     this.forecast = new SlotForecast(opts)
     this.permitDemand = new PermitDemand(opts.permits)
-    opts.fleet.changes.subscribe(() => this.pump())
+    opts.fleet.changes.subscribe(() => this.assignSlots())
   }
 
   get size (): number {
@@ -77,7 +77,7 @@
 
   /** Resolves with a slot; rejects, always with `ran: no`, as soon as none is expected in time. */
   acquire (work: RoutedWork): Promise<BackendSlot> {
-    this.forecast.noteArrived(work)
+    this.forecast.recordArrival(work)
     if (this.waiting.length === 0) {
       const slot = this.tryAcquire(work)
       // Permits requested for a better, rate-limited server can serve the next request.
@@ -106,7 +106,7 @@
   }
 
   /** Assigns free slots to waiting requests, and rejects requests for which none is expected in time. */
-  pump (): void {
+  assignSlots (): void {
     this.rankWaiting()
     for (const item of [...this.waiting]) {
       if (!this.waiting.includes(item)) continue
@@ -120,7 +120,7 @@
   /** An overdue request leaves slots to requests at other instances that can still meet their latency targets. */
   private mustYield ({ work, candidate }: WaitingRequest): boolean {
     if (!this.opts.policy.timelyFirst || hasPartialAnswer(work)) return false
-    if (isInTime(candidate, this.opts.clock.readTime()) || this.opts.fleet.waiting.countElsewhere(buildQueueKey(work)) === 0) return false
+    if (isWithinTarget(candidate, this.opts.clock.readTime()) || this.opts.fleet.waiting.countAtPeers(buildQueueKey(work)) === 0) return false
     return typeof this.chooseServer(work, this.computePrefillLimit(work), work.excluded) !== 'string'
   }
 
@@ -136,7 +136,7 @@
 
   /** Last chance to meet the latency target or the deadline: exceeding the prefill limit is better than missing them. */
   private tryIgnoringPrefillLimit (item: WaitingRequest): void {
-    const slot = item.lastFailure === ChoiceFailures.READING ? this.tryAcquire(item.work, Infinity) : undefined
+    const slot = item.lastFailure === ChoiceFailures.PREFILLING ? this.tryAcquire(item.work, Infinity) : undefined
     if (slot instanceof BackendSlot) item.resolve(slot)
   }
 
@@ -144,17 +144,17 @@
     const choice = this.chooseServer(work, prefillLimit, work.excluded, (backend) => this.permitDemand.add(backend))
     if (typeof choice === 'string') return choice
     const { generation } = work
-    if (generation) this.opts.fleet.notePrefix(choice.backend, nameWeights(generation.model, generation.adapter), generation.parts)
-    const stopTracking = this.forecast.noteAcquired(choice.backend.id)
+    if (generation) this.opts.fleet.recordPrefix(choice.backend, nameWeights(generation.model, generation.adapter), generation.parts)
+    const stopTracking = this.forecast.recordAcquired(choice.backend.id)
     const slot: BackendSlot = new BackendSlot(choice, work, this.opts.clock, (change) => {
-      this.opts.fleet.noteLoadChange()
+      this.opts.fleet.announceLoadChange()
       if (change === SlotChanges.ACQUIRED) return
-      if (change === SlotChanges.UNSENT) this.permitDemand.giveBack(choice.backend)
+      if (change === SlotChanges.UNSENT) this.permitDemand.release(choice.backend)
       if (change === SlotChanges.RELEASED) {
         stopTracking()
         this.noteEnded(slot, work)
       }
-      this.pump()
+      this.assignSlots()
     })
     return slot
   }
@@ -163,7 +163,7 @@
     work: RoutedWork,
     prefillLimit: number,
     excluded: ReadonlySet<string>,
-    onLacking?: (backend: Backend) => void,
+    onPermitNeeded?: (backend: Backend) => void,
   ): BackendChoice | ChoiceFailure {
     return chooseBackend({
       backends: this.opts.fleet.list(work.service.name),
@@ -171,15 +171,15 @@
         dataHall: this.opts.dataHall,
         excluded,
         generation: work.generation,
-        queueShare: QUEUE_SHARE,
-        readingLimit: prefillLimit,
-        mustBeApart: work.mustBeApart,
+        overcommitShare: QUEUE_SHARE,
+        prefillLimit,
+        mustAvoidSuspects: work.mustAvoidSuspects,
       },
-      figures: work.service.serving,
+      capacity: work.service.serving,
       policy: this.opts.policy,
       random: this.opts.random,
       now: this.opts.clock.readTime(),
-      onLacking,
+      onPermitNeeded,
     })
   }
 
@@ -192,18 +192,18 @@
     const times = slot.readTimes()
     if (!times) return
     const { generation, service } = work
-    const readTokens = Math.max(0, (generation?.promptTokens ?? 0) - slot.choice.keptTokens)
-    this.forecast.noteServed(work, { ...times, readTokens })
+    const readTokens = Math.max(0, (generation?.promptTokens ?? 0) - slot.choice.cachedTokens)
+    this.forecast.recordServed(work, { ...times, readTokens })
     if (!generation) return
     this.notePause(slot, work)
     const { model, adapter } = generation
-    this.opts.residency.noteEnded({ service: service.name, model, adapter }, { heldMs: times.heldMs, readTokens })
+    this.opts.residency.recordEnded({ service: service.name, model, adapter }, { heldMs: times.heldMs, readTokens })
   }
 
   /** Skips resumed streams: their longest pause may be due to the failure of the former server. */
   private notePause (slot: BackendSlot, { route, stream, excluded }: RoutedWork): void {
     if (route.longestPauseMs === undefined || stream.events < 2 || excluded.size > 0) return
-    this.opts.fleet.notePause(slot.backend, stream.longestPauseMs / route.longestPauseMs, this.opts.clock.readTime())
+    this.opts.fleet.recordPause(slot.backend, stream.longestPauseMs / route.longestPauseMs, this.opts.clock.readTime())
   }
 
   private wait (work: RoutedWork): Promise<BackendSlot> {
@@ -214,10 +214,10 @@
         work.signal.removeEventListener('abort', handleAbort)
         this.waiting = this.waiting.filter((other) => other !== item)
         removeTally()
-        fleet.noteLoadChange()
+        fleet.announceLoadChange()
       }
       const candidate = this.forecast.createCandidate(work, policy.patienceBound)
-      let removeTally = isInTime(candidate, clock.readTime()) ? fleet.waiting.add(buildQueueKey(work)) : () => undefined
+      let removeTally = isWithinTarget(candidate, clock.readTime()) ? fleet.waiting.add(buildQueueKey(work)) : () => undefined
       const item: WaitingRequest = {
         work,
         candidate,
@@ -244,19 +244,19 @@
           removeTally()
           removeTally = () => undefined
           // Notifies other instances, whose requests would otherwise keep yielding to this one.
-          fleet.noteLoadChange()
+          fleet.announceLoadChange()
           this.tryIgnoringPrefillLimit(item)
         }),
-        setTimer(candidate.latestAt, () => {
+        setTimer(candidate.expiresAt, () => {
           this.tryIgnoringPrefillLimit(item)
           if (this.waiting.includes(item)) item.reject(createRejection(item.lastFailure, this.computeRetryAfterSeconds(work)))
         }),
       ]
       work.signal.addEventListener('abort', handleAbort, { once: true })
       this.waiting.push(item)
-      fleet.noteLoadChange()
+      fleet.announceLoadChange()
       if (work.signal.aborted) handleAbort()
-      else this.pump()
+      else this.assignSlots()
       if (this.waiting.includes(item)) this.recordWaiting(item)
     })
   }
@@ -272,7 +272,7 @@
   private checkBackoff (item: WaitingRequest): void {
     const leftMs = this.forecast.readBackoffMs(item.work)
     if (leftMs === undefined) return
-    this.checkSlotWait(item, () => ({ inTimeMs: leftMs, lateMs: leftMs }))
+    this.checkSlotWait(item, () => ({ withinTargetMs: leftMs, overdueMs: leftMs }))
     if (this.waiting.includes(item)) this.schedulePass(leftMs)
   }
 
@@ -293,7 +293,7 @@
     this.nextPass?.cancel()
     const cancel = clock.setTimer(ms, () => {
       this.nextPass = undefined
-      this.pump()
+      this.assignSlots()
     })
     this.nextPass = { at, cancel }
   }
@@ -303,7 +303,7 @@
     this.requestWeights(item, true)
     const { work, candidate, weightsAnswer } = item
     if (work.generation && !weightsAnswer) return
-    if (weightsAnswer?.coming && item.weightsAnsweredAt + weightsAnswer.expectedMs <= candidate.latestAt) return
+    if (weightsAnswer?.coming && item.weightsAnsweredAt + weightsAnswer.expectedMs <= candidate.expiresAt) return
     this.checkWait(item, estimate())
   }
 
@@ -331,7 +331,7 @@
     // Without an ordered load, the minimal duration of a load is a lower bound.
     const expectedMs = weightsAnswer.coming ? weightsAnswer.expectedMs : weightsAnswer.earliestMs ?? this.estimateLoadMs(work)
     if (hasPartialAnswer(work) || !this.opts.policy.waitEstimate) return
-    if (weightsAnsweredAt + expectedMs <= candidate.latestAt) return
+    if (weightsAnsweredAt + expectedMs <= candidate.expiresAt) return
     item.reject(new PulleystackError('NO_RUNNER', 'The model will not be loaded in time', {
       retryAfterSeconds: this.computeRetryAfterSeconds(work, expectedMs),
     }))
@@ -369,13 +369,13 @@
     if (!item.work.generation || clock.readTime() < item.nextWeightsRequestAt) return
     item.nextWeightsRequestAt = clock.readTime() + WEIGHTS_REQUEST_INTERVAL_MS
     const { model, adapter } = item.work.generation
-    const waitMs = item.candidate.latestAt - clock.readTime()
+    const waitMs = item.candidate.expiresAt - clock.readTime()
     void residency.requestWeights({ service: item.work.service.name, model, adapter, isMore: isExtraCopy, waitMs }).then((answer) => {
       if (!this.waiting.includes(item)) return
       item.weightsAnswer = answer
       item.weightsAnsweredAt = clock.readTime()
       if (item.lastFailure === ChoiceFailures.NOT_RESIDENT) this.checkWeightsWait(item)
-      else this.pump()
+      else this.assignSlots()
     })
   }
 }
--- a/gateway/routed/src/RoutedWork.ts
+++ b/gateway/routed/src/RoutedWork.ts
@@ -17,7 +17,7 @@
   /** 0 is the most urgent. */
   priority: number
   /** Whether the access key is removed before the request is forwarded. */
-  hidesKey: boolean
+  removesAccessKey: boolean
   /** Host header in lower case. */
   host: string
   method: string
@@ -25,11 +25,11 @@
   path: string
   rawHeaders: readonly string[]
   body: Buffer | undefined
-  /** Monotone time in milliseconds, as is `deadline`. */
+  /** Monotonic time in milliseconds, as is `deadline`. */
   arrivedAt: number
   deadline: number
   generation: GenerationDemand | undefined
-  /** Estimated monotone time of the client's first try; `arrivedAt` unless the request was retried by the client. */
+  /** Estimated monotonic time of the client's first try; `arrivedAt` unless the request was retried by the client. */
   firstTriedAt: number
   /** Ids of servers that failed this request. */
   excluded: Set<string>
@@ -41,7 +41,7 @@
   /** A server crashed while running this request; other requests avoid the servers that run it. */
   isSuspect?: boolean
   /** Several servers crashed while running this request; it must not share a server with another suspect. */
-  mustBeApart?: boolean
+  mustAvoidSuspects?: boolean
 }
 
 /** Estimates the resources needed for a generation. */
--- a/gateway/routed/src/SlotForecast.ts
+++ b/gateway/routed/src/SlotForecast.ts
@@ -1,4 +1,4 @@
-import { RecentMean, RecentRate, estimateWaits, type Candidate, type QueueFacts, type WaitEstimate } from '@pulleystack/routing.admission'
+import { RecentMean, RecentRate, estimateWaits, type Candidate, type QueueState, type WaitEstimate } from '@pulleystack/routing.admission'
 import type { Clock } from '@pulleystack/core.clock'
 import { PREFILL_TOKENS_PER_MS, nameWeights, type Backend, type BackendFleet } from '@pulleystack/routing.fleet'
 import { computePermitsPerSecond } from '@pulleystack/routing.permits'
@@ -34,19 +34,19 @@
   /** In milliseconds. */
   private readonly prefillMeans = new RecentMean()
   private readonly arrivalRates: RecentRate
-  /** Slots held by this instance with the monotone times of their acquisition, by server. */
+  /** Slots held by this instance with the monotonic times of their acquisition, by server. */
   private readonly ownSlots = new Map<string, Set<{ at: number }>>()
 
   constructor (private readonly opts: { clock: Clock, fleet: BackendFleet }) {
     this.arrivalRates = new RecentRate(opts.clock)
   }
 
-  noteArrived (work: RoutedWork): void {
+  recordArrival (work: RoutedWork): void {
     this.arrivalRates.add(buildQueueKey(work))
   }
 
   /** Records a slot held by this instance; the returned function removes it. */
-  noteAcquired (backend: string): () => void {
+  recordAcquired (backend: string): () => void {
     const slots = this.ownSlots.get(backend) ?? new Set()
     this.ownSlots.set(backend, slots)
     const slot = { at: this.opts.clock.readTime() }
@@ -57,7 +57,7 @@
     }
   }
 
-  noteServed (work: RoutedWork, { heldMs, firstOutputMs, readTokens }: ServedRequest): void {
+  recordServed (work: RoutedWork, { heldMs, firstOutputMs, readTokens }: ServedRequest): void {
     for (const key of [buildQueueKey(work), work.service.name]) {
       this.heldMeans.add(key, heldMs)
       this.firstOutputMeans.add(key, firstOutputMs)
@@ -77,7 +77,7 @@
     return {
       priority: work.priority,
       dueAt: work.firstTriedAt + route.targetLatencyMs - firstOutputMs,
-      latestAt: Math.min(work.deadline - heldMs, patienceStart + patienceMs - firstOutputMs),
+      expiresAt: Math.min(work.deadline - heldMs, patienceStart + patienceMs - firstOutputMs),
     }
   }
 
@@ -93,15 +93,15 @@
   describeLimits (work: RoutedWork): ReachedLimits {
     const now = this.opts.clock.readTime()
     const limited = this.listLimited(work)
-    const limits = limited.map(({ id, stated }) => {
-      const { perSecond = Infinity, saidBefore, heardBy } = stated.limit.statement
-      return { backend: id, perSecond, saidMsAgo: Math.round(now - saidBefore), ...heardBy !== undefined && { heardBy } }
+    const limits = limited.map(({ id, reported }) => {
+      const { perSecond = Infinity, reportedBefore, receivedBy: heardBy } = reported.limit.report
+      return { backend: id, perSecond, saidMsAgo: Math.round(now - reportedBefore), ...heardBy !== undefined && { heardBy } }
     })
     return { limits, expectedMs: Math.round(computeNextPermitMs(limited, now)) }
   }
 
   private listLimited (work: RoutedWork): Backend[] {
-    return this.listAvailable(work).filter(({ stated }) => stated.limit.perSecond !== undefined)
+    return this.listAvailable(work).filter(({ reported }) => reported.limit.perSecond !== undefined)
   }
 
   /** Estimates the wait for a permit of a rate-limited server or a slot at another one, whichever comes first. */
@@ -111,35 +111,35 @@
     const others = this.listAvailable(work).filter((backend) => !limited.includes(backend))
     const slotWait = others.length === 0 ? undefined : this.estimateSlotWaitAt(work, ahead, others)
     if (limited.length === 0) return slotWait
-    const perSecond = limited.reduce((sum, { stated }) => sum + computePermitsPerSecond(stated.limit.perSecond ?? Infinity), 0)
+    const perSecond = limited.reduce((sum, { reported }) => sum + computePermitsPerSecond(reported.limit.perSecond ?? Infinity), 0)
     const heldMs = 1_000 / perSecond
     const nextMs = computeNextPermitMs(limited, now)
     // Permits arrive one at a time, like slots of a server that runs one request after the other.
-    const permitWait = this.estimateWait(work, ahead, { heldMs, running: 1, ownLeftMs: [nextMs - heldMs], isSteady: true })
+    const permitWait = this.estimateWait(work, ahead, { heldMs, running: 1, ownRemainingMs: [nextMs - heldMs], hasSteadyRate: true })
     if (!slotWait) return permitWait
-    return { inTimeMs: Math.min(permitWait.inTimeMs, slotWait.inTimeMs), lateMs: Math.min(permitWait.lateMs, slotWait.lateMs) }
+    return { withinTargetMs: Math.min(permitWait.withinTargetMs, slotWait.withinTargetMs), overdueMs: Math.min(permitWait.overdueMs, slotWait.overdueMs) }
   }
 
   /** Whether a request for permits of an available server is unanswered. */
   isAwaitingPermits (work: RoutedWork): boolean {
-    return this.listAvailable(work).some(({ stated }) => stated.permits.isAsking)
+    return this.listAvailable(work).some(({ reported }) => reported.permits.hasPendingRequest)
   }
 
   private estimateSlotWaitAt (work: RoutedWork, ahead: number, servers: readonly Backend[]): WaitEstimate | undefined {
     const heldMs = this.readMean(this.heldMeans, work)
     if (heldMs === undefined) return undefined
     const running = servers.reduce((sum, backend) => sum + backend.readLoad().running, 0)
-    return this.estimateWait(work, ahead, { heldMs: Math.max(1, heldMs), running, ownLeftMs: this.listRemainingMs(servers, heldMs) })
+    return this.estimateWait(work, ahead, { heldMs: Math.max(1, heldMs), running, ownRemainingMs: this.listRemainingMs(servers, heldMs) })
   }
 
   /** Estimates when a server will be below its prefill limit; each server processes one prompt at a time. */
   estimatePrefillWait (work: RoutedWork, ahead: number): WaitEstimate | undefined {
     const prefillMs = this.readMean(this.prefillMeans, work)
     if (prefillMs === undefined) return undefined
-    return this.estimateWait(work, ahead, { heldMs: Math.max(1, prefillMs), running: this.listAvailable(work).length, ownLeftMs: [] })
+    return this.estimateWait(work, ahead, { heldMs: Math.max(1, prefillMs), running: this.listAvailable(work).length, ownRemainingMs: [] })
   }
 
-  private estimateWait (work: RoutedWork, ahead: number, slotUse: Pick<QueueFacts, 'heldMs' | 'running' | 'ownLeftMs' | 'isSteady'>): WaitEstimate {
+  private estimateWait (work: RoutedWork, ahead: number, slotUse: Pick<QueueState, 'heldMs' | 'running' | 'ownRemainingMs' | 'hasSteadyRate'>): WaitEstimate {
     const { fleet } = this.opts
     const key = buildQueueKey(work)
     return estimateWaits({
@@ -147,7 +147,7 @@
       arrivalsPerSecond: this.arrivalRates.read(key),
       ahead,
       waiting: fleet.waiting.countOwn(key),
-      waitingElsewhere: fleet.waiting.countElsewhere(key),
+      waitingAtPeers: fleet.waiting.countAtPeers(key),
     })
   }
 
@@ -160,23 +160,23 @@
   /** Milliseconds until the first eligible server's pause ends; undefined when none is paused. */
   readBackoffMs (work: RoutedWork): number | undefined {
     const now = this.opts.clock.readTime()
-    const waits = this.listReachable(work, now).map((backend) => backend.stated.backoff.readLeftMs(now)).filter((ms) => ms > 0)
+    const waits = this.listReachable(work, now).map((backend) => backend.reported.backoff.readRemainingMs(now)).filter((ms) => ms > 0)
     return waits.length === 0 ? undefined : Math.min(...waits)
   }
 
   private listAvailable (work: RoutedWork): Backend[] {
     const now = this.opts.clock.readTime()
-    return this.listReachable(work, now).filter((backend) => !backend.stated.backoff.isActive(now))
+    return this.listReachable(work, now).filter((backend) => !backend.reported.backoff.isActive(now))
   }
 
   /** Lists reachable servers that are not draining and hold the weights, paused ones included. */
   private listReachable ({ service, generation }: RoutedWork, now: number): Backend[] {
-    const reachable = this.opts.fleet.list(service.name).filter((backend) => backend.isStaying(now))
+    const reachable = this.opts.fleet.list(service.name).filter((backend) => backend.isAvailable(now))
     return generation ? reachable.filter((backend) => backend.hasWeights(generation.model, generation.adapter)) : reachable
   }
 
   private readHighMean (means: RecentMean, work: RoutedWork): number | undefined {
-    return means.readHigh(buildQueueKey(work)) ?? means.readHigh(work.service.name)
+    return means.readUpperBound(buildQueueKey(work)) ?? means.readUpperBound(work.service.name)
   }
 
   /** Falls back to the mean of the whole service for weights without samples. */
@@ -187,7 +187,7 @@
 
 /** Milliseconds until the first of the servers is expected to have a permit. */
 function computeNextPermitMs (limited: readonly Backend[], now: number): number {
-  return Math.min(...limited.map(({ stated }) => Math.max(0, stated.permits.expectedAt - now)))
+  return Math.min(...limited.map(({ reported }) => Math.max(0, reported.permits.nextExpectedAt - now)))
 }
 
 /** Identifies the slots that a request can use, by service and weights. */
--- a/placement/residency/src/DemandTracker.ts
+++ b/placement/residency/src/DemandTracker.ts
@@ -68,14 +68,14 @@
   meanHeldMs: number | undefined
   /** Mean prompt tokens to prefill for one request. */
   prefillTokens: number
-  /** Requests in flight at each instance, and the monotone time of its report. */
+  /** Requests in flight at each instance, and the monotonic time of its report. */
   inFlight: Map<string, { count: number, reportedAt: number }>
 }
 
 /** Tracks the demand for each model and adapter of one service over all instances, as exponentially decaying counts. */
 export class DemandTracker {
   private readonly tracked = new Map<string, TrackedDemand>()
-  /** Monotone time at which a load was last requested, by model. */
+  /** Monotonic time at which a load was last requested, by model. */
   private readonly lastWaitingAt = new Map<string, number>()
   private meanHeldMs = DEFAULT_HELD_MS
 
--- a/program/entry/src/startStatusReceiver.ts
+++ b/program/entry/src/startStatusReceiver.ts
@@ -1,6 +1,6 @@
 import { isServing, type InstanceMesh } from '@pulleystack/membership.mesh'
 import type { PeerNetwork } from '@pulleystack/membership.peers'
-import { StatementIntake, StatementSources, shareDepartures, shareLimits, type BackendFleet } from '@pulleystack/routing.fleet'
+import { ServerReports, ReportSources, shareDrainingServers, shareLimits, type BackendFleet } from '@pulleystack/routing.fleet'
 import type { EntryParts } from './EntryParts.js'
 
 export interface StatusReceiverParts extends EntryParts {
@@ -15,16 +15,16 @@
 export function startStatusReceiver (
   { deps, clock, log, fleet, network, mesh, onLimitChange }: StatusReceiverParts,
   signal: AbortSignal,
-): StatementIntake {
-  const statusReceiver = new StatementIntake({ clock, log, fleet })
-  shareDepartures({ network, fleet }, signal)
-  const listStandby = (): string[] => isServing(mesh.self) ? mesh.listLive().filter(({ standby }) => standby).map(({ instance }) => instance) : []
-  shareLimits({ clock, network, fleet, listStandby, onNews: (report) => statusReceiver.noteTold(report) }, signal)
+): ServerReports {
+  const statusReceiver = new ServerReports({ clock, log, fleet })
+  shareDrainingServers({ network, fleet }, signal)
+  const listStandby = (): string[] => isServing(mesh.self) ? mesh.listLinked().filter(({ standby }) => standby).map(({ instance }) => instance) : []
+  shareLimits({ clock, network, fleet, listStandby, onPeerLimit: (report) => statusReceiver.recordPeerLimit(report) }, signal)
   const limitSubscription = fleet.limitChanges.subscribe(onLimitChange)
-  const statusSubscription = deps.weights.statements.subscribe(({ target, call, statement }) => {
+  const statusSubscription = deps.weights.statuses.subscribe(({ target, call, status }) => {
     const backend = fleet.find(target.backendId)
-    const source = call === 'order' ? StatementSources.ORDER : StatementSources.REPORT
-    if (backend?.entry.address === target.address) statusReceiver.take(backend, statement, source)
+    const source = call === 'order' ? ReportSources.ORDER : ReportSources.REPORT
+    if (backend?.entry.address === target.address) statusReceiver.apply(backend, status, source)
   })
   signal.addEventListener('abort', () => {
     limitSubscription.unsubscribe()
--- a/program/entry/src/watchSources.ts
+++ b/program/entry/src/watchSources.ts
@@ -1,9 +1,9 @@
 import { readRevision, type ObjectStore, type StoredObject } from '@pulleystack/backend.interfaces'
-import { CopyWatch, StoreFeed, type StoreFeedOptions } from '@pulleystack/config.feed'
+import { StalenessMonitor, StoreFeed, type StoreFeedOptions } from '@pulleystack/config.feed'
 import { RouteTable } from '@pulleystack/config.routes'
 import type { Clock, RandomSource } from '@pulleystack/core.clock'
 import type { PeerNetwork } from '@pulleystack/membership.peers'
-import { BackendDirectory, shareRevived, type BackendFleet } from '@pulleystack/routing.fleet'
+import { BackendDirectory, shareStaleServers, type BackendFleet } from '@pulleystack/routing.fleet'
 import { DecisionKinds, type DecisionLog } from '@pulleystack/timeline.decisions'
 import type { EntrySources } from './EntrySources.js'
 import { UnreadableEntries } from './UnreadableEntries.js'
@@ -60,22 +60,22 @@
   })
   opts.signal.addEventListener('abort', () => changeSubscription.unsubscribe(), { once: true })
   const unreadable = new UnreadableEntries(opts.clock, log)
-  const directory = new BackendDirectory({ clock: opts.clock, fleet, readSettledMs: () => feed.settledMs })
-  const announceRevived = shareRevived({ network: opts.network, directory }, opts.signal)
+  const directory = new BackendDirectory({ clock: opts.clock, fleet, readMsSinceRecovery: () => feed.msSinceRecovery })
+  const announceRevived = shareStaleServers({ network: opts.network, directory }, opts.signal)
   const take = (object: StoredObject): void => {
     const entry = sources.readBackend(object)
     if (entry) {
       directory.put(entry, object.version)
       return
     }
-    directory.drop(readName(sources.backendPrefix, object))
+    directory.removeUnreadable(readName(sources.backendPrefix, object))
     unreadable.note({ key: object.key, revision: readRevision(object.version) })
   }
   const feed: StoreFeed = startFeed(opts, sources.backendPrefix, {
     onListing: (objects, { version, isRestored }) => {
-      if (isRestored) directory.noteRestored(version)
+      if (isRestored) directory.handleRestore(version)
       objects.forEach(take)
-      directory.keepOnly(new Set(objects.map((object) => readName(sources.backendPrefix, object))))
+      directory.removeAllExcept(new Set(objects.map((object) => readName(sources.backendPrefix, object))))
       if (isRestored) announceRevived()
     },
     onChanges: (changes) => changes.forEach((change) => {
@@ -94,6 +94,6 @@
   const { clock, random, store, network, log, instance, listCandidates } = opts
   const feed = new StoreFeed({ clock, random, store, network, log, prefix, instance, listCandidates, ...listeners })
   feed.start(opts.signal)
-  new CopyWatch({ clock, log, feed, prefix }).start(opts.signal)
+  new StalenessMonitor({ clock, log, feed, prefix }).start(opts.signal)
   return feed
 }
--- a/tools/bench/src/index.ts
+++ b/tools/bench/src/index.ts
@@ -1,1 +1,1 @@
-export { benches } from './benches.js'
+export { benchmarks } from './benchmarks.js'
